--- a/libs/routing/src/bergamotsail/routing/__init__.py
+++ b/libs/routing/src/bergamotsail/routing/__init__.py
@@ -1,7 +1,8 @@
-"""From a caller's request to the target that answers it.
+"""Routes callers' requests to the targets that answer them.
 
-:class:`Entry` serves model requests, :class:`ServiceRouter` calls of plain
-services; both admit within the shares of :class:`Admission`.
+:class:`Entry` serves model requests and :class:`ServiceRouter` calls of
+plain services, both subject to :class:`Admission`. :class:`Forwarder` serves
+requests according to the route table.
 """
 
 from bergamotsail.routing import _forward
--- a/libs/routing/src/bergamotsail/routing/_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_choice.py
@@ -1,4 +1,4 @@
-"""Which target should serve an adapter."""
+"""Routing policies: the choice of the target that serves an adapter."""
 
 import abc
 import collections.abc
@@ -17,14 +17,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """A target and the reason for it."""
+    """The chosen target and the reason, for the log."""
 
     target: control.TargetInfo
     reason: str
 
 
 class Routing(abc.ABC):
-    """Orders targets for an adapter version."""
+    """Policy that chooses a target for an adapter version."""
 
     @abc.abstractmethod
     def choose(
@@ -34,15 +34,17 @@
         prefix: int,
         now: float,
     ) -> Choice:
-        """Choose among targets that may take work; there is at least one.
+        """Choose one of the targets that accept work.
 
         Args:
+            targets: at least one.
             prefix: hash of the start of the prompt, a hint only.
+            now: the time on a monotonic clock.
         """
 
 
 def load_of(target: control.TargetInfo) -> float:
-    """Return running and queued requests for each batch slot."""
+    """Return the running and queued requests per batch slot."""
     status = target.status
     if status is None or not status.batch_slots:
         return FULL
@@ -50,17 +52,17 @@
 
 
 def is_resident(target: control.TargetInfo, adapter: str) -> bool:
-    """Whether the owner confirmed the adapter on this target."""
+    """Whether the owner has confirmed the adapter on this target."""
     return target.status is not None and adapter in target.status.residents
 
 
 def is_pending(target: control.TargetInfo, adapter: str) -> bool:
-    """Whether requests for the adapter wait there for its load."""
+    """Whether requests wait there for the adapter to be loaded."""
     return target.status is not None and adapter in target.status.pending
 
 
 def cost_of(target: control.TargetInfo) -> float:
-    """Return what a load there costs: what it evicts, and the queue."""
+    """Return the cost of a load there: eviction, pending loads and queue."""
     status = target.status
     if status is None:
         return 0.0
@@ -69,11 +71,12 @@
 
 
 class ResidencyRouting(Routing):
-    """Where the adapter is resident, else where it should be loaded.
+    """Prefers targets where the adapter is resident.
 
-    All entries compute the same cold choice, so that requests for a cold
-    adapter meet at one target and share one load. A second copy is loaded
-    only when the queue for the first outlasts a load.
+    All daemons compute the same choice for a cold adapter, so that its
+    requests reach one target and share one load. A second copy is loaded
+    only when the queue for the first outlasts a load: its load has reached
+    REPLICATE_QUEUE, and another target has free slots.
     """
 
     def __init__(self) -> None:
@@ -95,7 +98,7 @@
         if load_of(chosen) >= REPLICATE_QUEUE and others:
             spare = min(others, key=load_of)
             if load_of(spare) < FULL:
-                return Choice(spare, "second copy, first is overloaded")
+                return Choice(spare, "second copy, the first is overloaded")
         return Choice(chosen, "resident")
 
     def _warm(
@@ -138,7 +141,7 @@
 
 
 class HashRouting(Routing):
-    """A baseline: each adapter has one target, by hash."""
+    """Baseline policy: each adapter has one target, chosen by hash."""
 
     def choose(
         self,
@@ -152,7 +155,7 @@
 
 
 class LeastLoadedRouting(Routing):
-    """A baseline: the least loaded target, whatever is resident."""
+    """Baseline policy: the least loaded target, regardless of residency."""
 
     def choose(
         self,
@@ -168,10 +171,10 @@
 
 
 def routing_named(name: str) -> Routing:
-    """Return the routing of a name.
+    """Return a new routing policy by name.
 
     Raises:
-        BadRequestError: there is none of this name.
+        BadRequestError: there is no policy of this name.
     """
     kinds = {
         "residency": ResidencyRouting,
@@ -180,6 +183,7 @@
     }
     if name not in kinds:
         raise wire.BadRequestError(
-            f"There is no routing {name!r}. Use one of {', '.join(kinds)}."
+            f"Unknown routing policy {name!r}. Use one of "
+            f"{', '.join(kinds)}."
         )
     return kinds[name]()
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -1,4 +1,8 @@
-"""Requests that end the targets that run them, on their way there."""
+"""Guards targets against requests that may crash them.
+
+The leader counts the targets lost while running a request and quarantines
+requests that were running on too many of them.
+"""
 
 import collections.abc
 import contextlib
@@ -9,7 +13,7 @@
 from bergamotsail import wire
 
 HELD_RETRY_S = 60.0
-# A copy of a suspected request waits so long for another one to end.
+# Longest time that a copy of a suspected request waits for another to end.
 MOST_ALONE_WAIT_S = 1.0
 ALONE_SHARE = 0.25
 ALONE_SLACK_S = 0.3
@@ -17,12 +21,12 @@
 
 
 class Subject:
-    """A request as its repeats are known, over one attempt of its caller.
+    """Tracks the targets lost under one attempt of a request.
 
     Args:
-        identity: works out what it shares with its repeats; called once,
-            when that matters.
-        ran: says whether this attempt may have run already.
+        identity: computes the identity that the request shares with its
+            repeats; called at most once, when first needed.
+        ran: returns whether this attempt may have run already.
     """
 
     def __init__(
@@ -44,7 +48,7 @@
 
     @property
     def identity(self) -> str:
-        """What it shares with its repeats, and with nothing else."""
+        """The identity shared by repeats of this request only."""
         if self._identity is None:
             self._identity = self._work_out()
         return self._identity
@@ -56,12 +60,12 @@
 
     @property
     def may_go_on(self) -> bool:
-        """Whether one attempt may meet a further target."""
+        """Whether this attempt may be sent to a further target."""
         return self.ends < quarantine.MOST_ENDS
 
 
 class FatalGuard:
-    """Keeps requests that end targets from the next ones."""
+    """Enforces quarantine and reports how runs of suspected requests end."""
 
     def __init__(
         self, session: control.Session, metrics: observe.Metrics
@@ -70,10 +74,10 @@
         self._metrics = metrics
 
     def check(self, subject: Subject) -> None:
-        """Refuse a request that is held back.
+        """Refuse a request that is quarantined.
 
         Raises:
-            QuarantinedError: says whether this attempt may have run.
+            QuarantinedError: it is; says whether this attempt may have run.
         """
         held_by_id = self._session.view.quarantine_by_id
         entry = held_by_id.get(subject.identity) if held_by_id else None
@@ -81,8 +85,8 @@
             return
         self._metrics.count("requests_held", pool=subject.pool)
         raise wire.QuarantinedError(
-            f"This request ended {entry.value.ends} targets that ran it, so "
-            "it is held back for now. Change it, or have an operator delete "
+            f"This request is quarantined: {entry.value.ends} targets were "
+            "lost while running it. Change it, or have an operator delete "
             f"the catalogue entry quarantine {entry.id}.",
             retry_after_s=HELD_RETRY_S,
             ran=subject.ran,
@@ -92,10 +96,10 @@
     async def alone(
         self, subject: Subject, left_s: float
     ) -> collections.abc.AsyncIterator[None]:
-        """Run a suspected request while no other copy of it runs.
+        """Ensure that no other copy of a suspected request runs, while inside.
 
         Args:
-            left_s: what is left of its caller's patience.
+            left_s: the remaining patience of the caller.
 
         Raises:
             OtherCopyError: another copy still runs.
@@ -106,8 +110,8 @@
             return
         if not await self._granted(subject, left_s * ALONE_SHARE):
             raise wire.OtherCopyError(
-                "Targets ended under this request, and another copy of it "
-                "runs now. Come back when that has ended.",
+                "Targets were lost while running this request, and another "
+                "copy of it is running. Retry when that has ended.",
                 retry_after_s=ALONE_RETRY_S,
                 ran=subject.ran,
             )
@@ -119,7 +123,7 @@
                 self._note(subject, "", quarantine.RunEnd.GIVEN_UP)
 
     async def _granted(self, subject: Subject, wait_s: float) -> bool:
-        """Ask the leader; who hears none goes on with what it knows."""
+        """Ask the leader for exclusivity; assume it if there is no reply."""
         wait_s = min(wait_s, MOST_ALONE_WAIT_S)
         request = control.AloneRequest(
             self._session.boot, subject.identity, wait_s
@@ -142,12 +146,12 @@
     def lost(
         self, subject: Subject, target: str, start: str | None = None
     ) -> None:
-        """Note that a target may have ended under a request.
+        """Record that a target was lost while running a request.
 
-        One that leaves ends by itself.
+        The loss of a target that is leaving is expected and not reported.
 
         Args:
-            start: names the start of the target, where its id does not.
+            start: names the incarnation of the target if its id does not.
         """
         subject.ends += 1
         info = self._session.digest.target_by_id.get(target)
@@ -155,7 +159,7 @@
             self._note(subject, start or target, quarantine.RunEnd.LOST)
 
     def served(self, subject: Subject, target: str) -> None:
-        """Clear a request that was suspected: it had a whole answer."""
+        """Report a complete answer, which clears a suspected request."""
         ends = self._session.ends
         if ends.any_suspect and ends.suspected(subject.identity):
             self._note(subject, target, quarantine.RunEnd.SERVED)
@@ -163,7 +167,7 @@
     def _note(
         self, subject: Subject, target: str, end: quarantine.RunEnd
     ) -> None:
-        """Tell the leader soon how a run ended."""
+        """Queue the outcome of a run for an early heartbeat."""
         run = quarantine.Run(
             subject.identity, subject.member, subject.pool, target
         )
--- a/libs/routing/src/bergamotsail/routing/_forward_types.py
+++ b/libs/routing/src/bergamotsail/routing/_forward_types.py
@@ -1,4 +1,4 @@
-"""What the forwarder asks of the callers' and the targets' dialect."""
+"""Requests, answers and the interfaces that the forwarder relies on."""
 
 import abc
 import dataclasses
@@ -12,11 +12,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelPart:
-    """What a model request names.
+    """The model-specific part of a request.
 
     Args:
         adapter: empty for the base model itself.
-        parts: the parts of its prompt with their tokens, in order.
+        prompt_tokens: tokens of the prompt.
+        output_tokens: the most tokens to generate.
+        parts: identifiers and token counts of the prompt's parts, in order.
     """
 
     model: str
@@ -28,15 +30,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One attempt of a caller, whole.
+    """One attempt of a caller, completely received.
 
     Args:
-        id: the caller's name for this attempt, unique.
-        target: path and query, as they came.
-        patience_s: how long the caller waits, None when it did not say.
-        arrived_at: on this daemon's clock.
-        resume_after: the last event that the caller has of a stream.
-        caller: who asks, as its credentials name it; empty without any.
+        id: unique id of this attempt, set by the caller.
+        target: path and query, as received.
+        patience_s: how long the caller waits, None if unknown.
+        arrived_at: time of arrival on this daemon's clock.
+        resume_after: id of the last event that the caller received of a
+            stream.
+        caller: the caller's credentials; empty without any.
     """
 
     id: str
@@ -54,12 +57,12 @@
 
     @property
     def member(self) -> str:
-        """Whose request it is, without what its credentials say."""
+        """Hash that identifies the caller without exposing its credentials."""
         return quarantine.identity(self.caller) if self.caller else ""
 
     @property
     def identity(self) -> str:
-        """What this attempt shares with other attempts of its request."""
+        """Hash that all attempts of the same request share."""
         model = self.model
         name = f"{model.model}/{model.adapter}" if model is not None else ""
         return quarantine.identity(
@@ -73,10 +76,10 @@
 
     Args:
         target: the incarnation that must run it.
-        version: of the adapter, None when none was named.
+        version: expected version of the adapter, None for any.
         priority: 0 is the most urgent.
-        left_s: what is left of the caller's patience.
-        resume_after: go on with a stream after this event.
+        left_s: the remaining patience of the caller.
+        resume_after: id of the event after which to resume a stream.
     """
 
     target: str
@@ -89,15 +92,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """What a target's head says.
+    """The parsed head of a target's answer.
 
     Args:
         own: the answer belongs to this request.
-        not_run: the target promises that it did not run it.
-        absent: it is another incarnation, or lacks adapter or version.
-        genuine: it bears the target's mark of an answer.
-        leaving: whether the target says that it is leaving.
-        pause: for how long the target wants no more work.
+        not_run: the target guarantees that it did not run the request.
+        absent: the target is another incarnation, or lacks the adapter or
+            version.
+        genuine: the head has the header that marks answers of targets.
+        leaving: whether the target announces that it is leaving.
+        pause: how long the target asks for no new work.
     """
 
     own: bool
@@ -109,25 +113,25 @@
 
 
 class Dialect(abc.ABC):
-    """Translates requests for targets, and their answers."""
+    """Translates requests and answers between callers and targets."""
 
     @abc.abstractmethod
     def outgoing(
         self, request: CallerRequest, destination: Destination
     ) -> Headers:
-        """Return the headers to send."""
+        """Return the headers to send to a target."""
 
     @abc.abstractmethod
     def read(self, request: CallerRequest, head: wire.ReplyHead) -> Reading:
-        """Read the head of an answer."""
+        """Parse the head of a target's answer."""
 
     @abc.abstractmethod
     def returning(self, head: wire.ReplyHead) -> Headers:
-        """Return the headers that go back to the caller."""
+        """Return the headers to send to the caller."""
 
 
 class CallerAnswer(abc.ABC):
-    """Where the answer to a caller goes."""
+    """Writer for the answer to a caller."""
 
     @property
     @abc.abstractmethod
@@ -140,7 +144,7 @@
 
     @abc.abstractmethod
     async def write(self, piece: bytes) -> None:
-        """Send a piece; waits for a slow caller."""
+        """Send a piece of the body; waits while the caller is slow."""
 
     @abc.abstractmethod
     async def finish(self) -> None:
@@ -148,4 +152,4 @@
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Close the connection so that the answer is not complete."""
+        """Close the connection, so that the answer is visibly incomplete."""
--- a/libs/routing/src/bergamotsail/routing/_keys.py
+++ b/libs/routing/src/bergamotsail/routing/_keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys that name their own time.
+"""Idempotency keys with an embedded timestamp.
 
-The system forgets claims after a while. To refuse a key whose claim it may
-have forgotten, it must see from the key how old it is. So a key is either
-a UUID of version 7, or ``UNIX_SECONDS-ANYTHING``.
+Claims are deleted after a retention time. To refuse a key whose claim may
+have been deleted, its age must be known from the key alone, so a key is
+either a UUID of version 7 or ``UNIX_SECONDS-ANYTHING``.
 """
 
 import uuid
@@ -14,13 +14,13 @@
 
 
 def key_time_ms(key: str) -> int:
-    """Return the time that a key names, in milliseconds since 1970.
+    """Return the timestamp in a key, in milliseconds since the Unix epoch.
 
     Example: ``key_time_ms("1767225600-pickup-17")`` gives
     ``1767225600000``.
 
     Raises:
-        IdempotencyKeyError: the key is missing or names no time.
+        IdempotencyKeyError: the key is empty, too long or has no timestamp.
     """
     if not key or len(key) > LONGEST:
         raise _bad_key()
@@ -42,6 +42,6 @@
 
 def _bad_key() -> wire.IdempotencyKeyError:
     return wire.IdempotencyKeyError(
-        "Send an Idempotency-Key that is a UUID of version 7 or reads "
+        "The Idempotency-Key must be a UUID of version 7 or "
         "UNIX_SECONDS-ANYTHING, of at most 200 characters."
     )
--- a/libs/routing/src/bergamotsail/routing/_retries.py
+++ b/libs/routing/src/bergamotsail/routing/_retries.py
@@ -1,4 +1,4 @@
-"""Retry budgets, so that retries never multiply an overload."""
+"""Retry budgets, which keep retries from amplifying an overload."""
 
 import collections.abc
 
@@ -8,13 +8,14 @@
 
 
 class RetryBudgets:
-    """A budget for each member.
+    """A retry budget for each member.
 
-    Every first try adds a part of a retry, up to a cap; every retry spends
-    a whole one. So retries are at most that part of the traffic.
+    Every first try adds a fraction of a token, up to CAP; every retry takes
+    a whole one. Beyond an initial CAP, retries are thus at most that
+    fraction of the first tries.
 
     Args:
-        view: gives the catalogue, with each member's part.
+        view: returns the catalogue, with each member's fraction.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
         return entry.value.retry_budget if entry is not None else 0.0
 
     def spend(self, member: str) -> bool:
-        """Take one retry; False when the budget is spent."""
+        """Take one retry; False if the budget is exhausted."""
         left = self._left_by_member.get(member, CAP)
         if left < 1.0:
             return False
--- a/libs/routing/src/bergamotsail/routing/_service_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_service_choice.py
@@ -1,4 +1,4 @@
-"""Which target of a plain service to send to, and who may be asked twice."""
+"""Load balancing and repeat budgets for plain services."""
 
 import collections
 import collections.abc
@@ -20,10 +20,10 @@
     known: collections.abc.Iterable[control.TargetInfo],
     avoid: collections.abc.Container[str],
 ) -> collections.abc.Iterator[control.TargetInfo]:
-    """Yield those of a pool that are not to be avoided.
+    """Yield the targets of a pool, except those to avoid.
 
     Args:
-        known: targets that take work.
+        known: targets that accept work.
     """
     for info in known:
         if info.pool == pool and info.id not in avoid:
@@ -31,7 +31,7 @@
 
 
 class ServiceChoice:
-    """Counts what runs where and what failed lately, for one daemon."""
+    """Balances load by this daemon's running requests and recent failures."""
 
     def __init__(
         self,
@@ -53,17 +53,21 @@
         known: collections.abc.Iterable[control.TargetInfo],
         avoid: collections.abc.Container[str],
     ) -> control.TargetInfo | None:
-        """Return the least loaded sound target, the nearest of equals."""
+        """Return the target with the least weight, or None without any.
+
+        Running requests, recent failures and another data centre add to the
+        weight of a target; ties are broken at random.
+        """
         return min(
             candidates(pool, known, avoid), key=self._weight, default=None
         )
 
     def started(self, target: str) -> None:
-        """Count a request in."""
+        """Count a request as running."""
         self._running_by_target[target] += 1
 
     def ended(self, target: str, failed: bool) -> None:
-        """Count a request out, and whether the target failed it."""
+        """Count a request as ended, and as a failure if the target failed."""
         self._running_by_target[target] -= 1
         if self._running_by_target[target] <= 0:
             del self._running_by_target[target]
@@ -81,16 +85,16 @@
 
 
 class RepeatBudgets:
-    """Bounds how often requests are sent a second time, by pool.
+    """Limits how often requests are sent again, by pool.
 
-    All daemons share one budget. Each uses a part of the fixed slack that
-    shrinks with the number of daemons, and its own requests' part of the
-    rest, so that the sum keeps to the whole without a word between them.
+    All daemons share one budget without coordination: each may use an equal
+    part of the fixed slack, and the given ratio of its own requests, so
+    that the sum stays within the total.
 
     Args:
-        ratio: sends beyond the first, for each request of a window.
-        slack: sends beyond the first that are allowed besides.
-        daemons: gives how many daemons share the slack.
+        ratio: resends allowed per request within WINDOW_S.
+        slack: further resends allowed within WINDOW_S, for all daemons.
+        daemons: returns the number of daemons that share the slack.
     """
 
     def __init__(
@@ -112,7 +116,7 @@
         self._recent(self._requests_by_pool, pool).append(self._clock.now())
 
     def take(self, pool: str) -> bool:
-        """Take one more send from the budget; False when it is spent."""
+        """Take one resend from the budget; False if it is exhausted."""
         requests = len(self._recent(self._requests_by_pool, pool))
         repeats = self._recent(self._repeats_by_pool, pool)
         part = self._slack / max(self._daemons(), FEWEST_DAEMONS)
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -1,9 +1,9 @@
-"""Calls of plain services, of which some may not be repeated.
+"""Routes calls of plain services, idempotent and non-idempotent ones.
 
-A call that may not be repeated first takes its idempotency key, by a
-write-once claim that a majority of replicas has on disk. Only the attempt
-that won the claim is sent, at most once. A resend, at any entry, gets the
-recorded outcome, or *unknown* when the first attempt never said.
+A non-idempotent call first claims its idempotency key: a write-once record
+that a majority of replicas has on disk. Only the attempt that won the claim
+is sent, at most once. A resend through any daemon gets the recorded outcome,
+or *unknown* if the first attempt did not record one.
 """
 
 import asyncio
@@ -58,7 +58,7 @@
     Args:
         path: path and query within the service.
         key: the caller's idempotency key, if any.
-        non_idempotent: the caller itself says so.
+        non_idempotent: the caller declared the call as non-idempotent.
     """
 
     request: str
@@ -77,7 +77,7 @@
     """The answer of a service.
 
     Args:
-        replayed: it was recorded by an earlier attempt.
+        replayed: the answer is the record of an earlier attempt.
     """
 
     status: int
@@ -87,7 +87,7 @@
 
 
 class ServiceRouter:
-    """Serves calls of plain services on this daemon."""
+    """Routes the calls of plain services that reach this daemon."""
 
     def __init__(
         self,
@@ -116,10 +116,10 @@
     async def call(
         self, caller: _entry.Caller, call: ServiceCall
     ) -> ServiceResult:
-        """Pass a call on and return its answer.
+        """Forward a call and return its answer.
 
         Raises:
-            ServingError: typed, with whether it ran and when to come back.
+            ServingError: says whether the call ran and when to retry.
         """
         self._session.check_fresh()
         entry = self._resolve(caller, call.service)
@@ -132,8 +132,8 @@
         )
         async with entered:
             if once:
-                # A caller that goes away must not break off a call that
-                # may not be repeated: its outcome is still recorded.
+                # A non-idempotent call is not cancelled when its caller goes
+                # away, so that its outcome is still recorded.
                 return await asyncio.shield(
                     self._keep(
                         self._call_once(
@@ -151,7 +151,7 @@
             )
 
     async def settled(self) -> None:
-        """Wait until all calls ended and their outcomes are recorded."""
+        """Wait until all non-idempotent calls have ended and are recorded."""
         while self._recording:
             await asyncio.wait(list(self._recording))
 
@@ -163,27 +163,28 @@
         )
         if not allowed:
             raise wire.NotFoundError(
-                f"There is no service {service!r} for {caller.member}. "
-                "Check the name, or ask its owner for access."
+                f"There is no service {service!r} that member "
+                f"{caller.member} may use. Check the name, or ask its owner "
+                "for access."
             )
         return entry
 
     def _check_key(self, call: ServiceCall) -> int:
         if call.key is None:
             raise wire.IdempotencyKeyError(
-                "This call may not be repeated. Send an Idempotency-Key "
-                "that is a UUID of version 7 or reads "
-                "UNIX_SECONDS-ANYTHING, and keep it for resends."
+                "This call is not idempotent and needs an Idempotency-Key: "
+                "a UUID of version 7 or UNIX_SECONDS-ANYTHING. Use the same "
+                "key for resends."
             )
         key_time_ms = _keys.key_time_ms(call.key)
         if key_time_ms > self._wall_s() * 1000 + FUTURE_MS:
             raise wire.IdempotencyKeyError(
-                "The time in the Idempotency-Key lies in the future. Set "
-                "your clock."
+                "The time in the Idempotency-Key is in the future. Check the "
+                "clock of the caller."
             )
         return key_time_ms
 
-    # Calls that may be repeated.
+    # Idempotent calls
 
     async def _call_freely(
         self,
@@ -240,7 +241,7 @@
         ]
         if not usable:
             raise wire.OverloadError(
-                f"No target of pool {service.pool} takes work now.",
+                f"No target of pool {service.pool} accepts work now.",
                 retry_after_s=1.0,
             )
         fresh = [target for target in usable if target.id not in tried]
@@ -269,7 +270,7 @@
         once: bool,
         subject: _fatal.Subject,
     ) -> targets.ServiceReply:
-        """Send to one target, unless the request is known to end targets."""
+        """Send to one target, unless the request is quarantined."""
         self._guard.check(subject)
         left_s = deadline - self._clock.now()
         async with self._guard.alone(subject, left_s):
@@ -285,9 +286,10 @@
             return reply
 
     def _start(self, target: control.TargetInfo) -> str:
-        """Name the start of a target that was lost just now.
+        """Return a name for the incarnation of a target just lost.
 
-        Where the list tells no start, each loss may be of another one.
+        If the instance list gives no start time, each loss is taken as that
+        of another incarnation.
         """
         if targets.Incarnation.of(target.id).born_ms is not None:
             return target.id
@@ -315,7 +317,7 @@
         finally:
             self._running_by_target[target.id] -= 1
 
-    # Calls that may not be repeated.
+    # Non-idempotent calls
 
     async def _call_once(
         self,
@@ -343,7 +345,11 @@
     async def _claim(
         self, claim: catalogue.Claim, deadline: float
     ) -> catalogue.ClaimReply:
-        """Take the key; asked again until the answer is known."""
+        """Claim the key, retrying until the leader replies.
+
+        Raises:
+            DeadlineError: the deadline passed first; the call was not sent.
+        """
         command = catalogue.Command(claim=claim)
         started_at = self._clock.now()
         while True:
@@ -363,7 +369,7 @@
                 await self._clock.sleep(RETRY_PAUSE_S)
 
     def _give_up(self, claim: catalogue.Claim) -> None:
-        """Free a key whose claim may yet commit though it was not sent."""
+        """Record as not run a call whose claim may still be committed."""
         self._record_later(
             catalogue.Record(
                 claim.member, claim.key, claim.attempt, State.NOT_RUN
@@ -399,7 +405,8 @@
                 claim.member, claim.key, claim.attempt, state, outcome
             )
             recording = self._record_later(record)
-        # A reply that went out before its record could be lost to a resend.
+        # If the reply went out before the record is committed, a resend could
+        # miss it.
         await asyncio.wait(
             [recording], timeout=max(0.0, deadline - self._clock.now())
         )
@@ -412,7 +419,7 @@
         deadline: float,
         subject: _fatal.Subject,
     ) -> targets.ServiceReply:
-        """Send to one target after another, but only while none got it."""
+        """Try targets in turn until one may have received the call."""
         tried: set[str] = set()
         while True:
             self._session.check_fresh()
@@ -433,7 +440,7 @@
         return self._keep(self._record(record))
 
     def _keep(self, work: collections.abc.Coroutine) -> asyncio.Task:
-        """Run work that must end whether or not the caller waits."""
+        """Run work to its end even if the caller goes away."""
         task = asyncio.create_task(work)
         self._recording.add(task)
         task.add_done_callback(self._forget)
@@ -442,7 +449,7 @@
     def _forget(self, task: asyncio.Task) -> None:
         self._recording.discard(task)
         if not task.cancelled():
-            # Read the error of a call whose caller went away.
+            # Mark the exception as retrieved, since the caller may be gone.
             task.exception()
 
     async def _record(self, record: catalogue.Record) -> None:
@@ -462,7 +469,10 @@
         reply: catalogue.ClaimReply,
         deadline: float,
     ) -> ServiceResult:
-        """Answer a resend from what the first attempt recorded."""
+        """Answer a resend from the record of the first attempt.
+
+        While that attempt still runs, polls for its outcome for a while.
+        """
         wait_until = min(deadline, self._clock.now() + WAIT_FOR_OTHER_S)
         while reply.state is State.HELD and self._clock.now() < wait_until:
             await self._clock.sleep(POLL_S)
@@ -478,7 +488,7 @@
 def _subject(
     caller: _entry.Caller, call: ServiceCall, service: catalogue.Service
 ) -> _fatal.Subject:
-    """Return a call as its repeats are known, under any key."""
+    """Return the tracking state of a call; its key is not part of it."""
     return _fatal.Subject(
         call.request,
         caller.member,
@@ -498,14 +508,14 @@
         )
     if reply.state is State.HELD:
         raise wire.InProgressError(
-            "An earlier call with this key has not ended, or its instance "
-            "was lost. Ask again with the same key.",
+            "An earlier call with this key is in progress, or its instance "
+            "was lost. Retry with the same key.",
             retry_after_s=2.0,
         )
     if reply.state is State.EXPIRED:
         raise wire.IdempotencyKeyError(
-            "The time in this key is too long ago to tell whether the call "
-            "ran. Check with the service before you use a new key.",
+            "This key has expired, so it is unknown whether the call ran. "
+            "Check with the service before using a new key.",
             ran=wire.Ran.UNKNOWN,
         )
     if reply.state is State.OTHER_REQUEST:
@@ -514,13 +524,13 @@
         )
     if reply.state is State.NOT_RUN:
         raise wire.NotSentError(
-            "The earlier call with this key was not sent. Ask again with "
-            "the same key.",
+            "The earlier call with this key was not sent. Retry with the "
+            "same key.",
             retry_after_s=0.1,
         )
     raise wire.UnknownOutcomeError(
-        "The outcome of the earlier call with this key is not known. It "
-        "will not be run again under this key."
+        "The outcome of the earlier call with this key is unknown. It will "
+        "not be run again under this key."
     )
 
 
@@ -548,7 +558,7 @@
 
 
 def _outcome(reply: targets.ServiceReply) -> catalogue.Outcome:
-    """Return what is recorded of a reply; an oversized body is left out."""
+    """Return the outcome to record; an oversized body is omitted."""
     body = reply.body
     headers = _end_to_end(reply.headers)
     if len(body) > MAX_RECORDED_BYTES:
--- a/libs/routing/src/bergamotsail/routing/_where.py
+++ b/libs/routing/src/bergamotsail/routing/_where.py
@@ -1,4 +1,4 @@
-"""Which of the system's addresses a caller should use."""
+"""Look-up of the daemon addresses that a caller should use."""
 
 import collections.abc
 import dataclasses
@@ -11,18 +11,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WhereAnswer:
-    """Addresses in order of preference, and how long to keep them."""
+    """Addresses in order of preference, and how long to cache them."""
 
     addresses: tuple[str, ...]
     keep_s: float
 
 
 class Where:
-    """Answers look-ups.
+    """Answers address look-ups.
 
     Args:
-        keep_s: how long a caller may keep an answer. A daemon that stops
-            as planned serves on for longer than this.
+        keep_s: how long a caller may cache an answer. A daemon that shuts
+            down as planned keeps serving for longer than this.
     """
 
     def __init__(self, session: control.Session, keep_s: float) -> None:
@@ -30,10 +30,11 @@
         self.keep_s = keep_s
 
     def look_up(self, name: str, adapter: str = "") -> WhereAnswer:
-        """Return where to send requests for an entry.
+        """Return where to send requests for a catalogue entry.
 
         Args:
-            adapter: as ``adapter@version`` when it is a model.
+            name: hashed to spread entries over the daemons.
+            adapter: ``adapter@version`` if the entry is a model, else empty.
         """
         digest = self._session.digest
         daemons = {
@@ -49,7 +50,7 @@
         return WhereAnswer(tuple(addresses)[:MOST_ADDRESSES], self.keep_s)
 
     def _owners_of(self, adapter: str) -> collections.abc.Iterator[str]:
-        """Yield owners of targets that hold the adapter, best first."""
+        """Yield owners of targets that hold the adapter, by rising load."""
         view = self._session.view
         holding = [
             target
