--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_entry.py
@@ -246,8 +246,7 @@
         else:
             over = number >= MAX_ATTEMPTS
         # A target refuses requests while its ownership changes. Nothing has
-        # run, so this retry counts neither as an attempt nor against the
-        # budget.
+        # run, so this retry takes no budget and is limited by time only.
         moving = isinstance(error, wire.NotOwnerError)
         if moving:
             over = now - attempt.broken_since > MOVE_FOR_S
