--- a/libs/routing/src/bergamotsail/routing/_admission.py
+++ b/libs/routing/src/bergamotsail/routing/_admission.py
@@ -17,8 +17,8 @@
 
 MILLI = 1000
 BURST_S = 1.0
-TICK_S = 0.02
-WANTED_KEPT_S = 5.0
+POLL_S = 0.02
+WANTED_WINDOW_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Waiting:
+class _Waiter:
     keys: tuple[str, ...]
     deadline: float
     ready: asyncio.Future
@@ -62,7 +62,7 @@
         self.wanted_at = float("-inf")
 
     @abc.abstractmethod
-    def want(self, amount: int, now: float) -> None:
+    def record_wanted(self, amount: int, now: float) -> None:
         """Record demand."""
 
     @abc.abstractmethod
@@ -93,9 +93,9 @@
         super().__init__()
         self.used = 0
 
-    def want(self, amount: int, now: float) -> None:
+    def record_wanted(self, amount: int, now: float) -> None:
         # Keep the recent peak, so that the share does not oscillate.
-        if amount >= self.wanted or now - self.wanted_at > WANTED_KEPT_S:
+        if amount >= self.wanted or now - self.wanted_at > WANTED_WINDOW_S:
             self.wanted = amount
             self.wanted_at = now
 
@@ -125,14 +125,14 @@
     def __init__(self) -> None:
         super().__init__()
         self._tokens = 0.0
-        self._at = 0.0
+        self._filled_at = 0.0
 
-    def want(self, amount: int, now: float) -> None:
+    def record_wanted(self, amount: int, now: float) -> None:
         self.wanted = max(amount, self.wanted)
         self.wanted_at = now
 
     def can_take(self, now: float) -> bool:
-        self._fill(now)
+        self._refill(now)
         return self._tokens >= 1.0
 
     def take(self, now: float) -> None:
@@ -145,16 +145,16 @@
         return self.share
 
     def set_share(self, share: int, now: float) -> None:
-        self._fill(now)
+        self._refill(now)
         self.share = share
         if share == 0:
             self._tokens = 0.0
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         rate = self.share / MILLI
-        filled = self._tokens + rate * (now - self._at)
+        filled = self._tokens + rate * (now - self._filled_at)
         self._tokens = min(filled, max(1.0, rate * BURST_S))
-        self._at = now
+        self._filled_at = now
 
 
 class Admission:
@@ -180,15 +180,15 @@
         self._settings = settings
         self._clock = clock
         self._share_by_key: dict[str, _Share] = {}
-        self._waiting_by_member: dict[str, list[_Waiting]] = (
+        self._waiting_by_member: dict[str, list[_Waiter]] = (
             collections.defaultdict(list)
         )
         self.active = 0
         self._deadlines: list[float] = []
         # Time by which all admitted requests will have ended: the bound that
         # the leader has confirmed, and the bound that was sent last.
-        self._promised_until = float("-inf")
-        self._telling_until = float("-inf")
+        self._confirmed_bound = float("-inf")
+        self._sent_bound = float("-inf")
 
     @contextlib.asynccontextmanager
     async def enter(
@@ -211,7 +211,7 @@
                 "This instance is at capacity. Use another address.",
                 retry_after_s=1.0,
             )
-        keys = self._keys(member, kind, entry_id)
+        keys = self._limit_keys(member, kind, entry_id)
         deadline = self._clock.now() + left_s
         self.active += 1
         try:
@@ -223,7 +223,7 @@
                 self._deadlines.remove(deadline)
                 for key in keys:
                     self._share_by_key[key].give_back()
-                self._start_waiting()
+                self._admit_waiting()
         finally:
             self.active -= 1
 
@@ -244,7 +244,7 @@
         now = self._clock.now()
         wanted = {}
         for key, share in list(self._share_by_key.items()):
-            if now - share.wanted_at <= WANTED_KEPT_S:
+            if now - share.wanted_at <= WANTED_WINDOW_S:
                 wanted[key] = share.wanted
             elif share.held() == 0:
                 del self._share_by_key[key]
@@ -264,13 +264,13 @@
             for waiting in queue
         ]
         usual = now + self._settings.promised_s
-        self._telling_until = max([usual, *self._deadlines, *waiting])
-        self._promised_until = min(self._promised_until, self._telling_until)
-        return self._telling_until - now
+        self._sent_bound = max([usual, *self._deadlines, *waiting])
+        self._confirmed_bound = min(self._confirmed_bound, self._sent_bound)
+        return self._sent_bound - now
 
     def promised_runs(self) -> None:
         """Note that the leader has confirmed the bound that was sent last."""
-        self._promised_until = self._telling_until
+        self._confirmed_bound = self._sent_bound
 
     def take_shares(self, share_by_key: dict[str, int]) -> None:
         """Replace shares and admit the queued requests that they allow."""
@@ -278,9 +278,9 @@
         for key, amount in share_by_key.items():
             if key in self._share_by_key:
                 self._share_by_key[key].set_share(amount, now)
-        self._start_waiting()
+        self._admit_waiting()
 
-    def _keys(
+    def _limit_keys(
         self, member: str, kind: catalogue.Kind, entry_id: str
     ) -> tuple[str, ...]:
         """Return the keys of the limits that apply."""
@@ -308,45 +308,45 @@
             self._share(key)
         queue = self._waiting_by_member[member]
         if not queue and self._try_take(keys, deadline):
-            self._note_wanted(keys)
+            self._record_wanted(keys)
             return
         if len(queue) >= self._settings.max_waiting:
-            raise self._at_limit(member)
+            raise self._limit_error(member)
         ready = asyncio.get_running_loop().create_future()
-        waiting = _Waiting(keys, deadline, ready)
+        waiting = _Waiter(keys, deadline, ready)
         queue.append(waiting)
-        self._note_wanted(keys)
+        self._record_wanted(keys)
         self._kick()
         left_s = deadline - self._clock.now()
         wait_s = min(left_s, self._settings.max_wait_s)
-        ticking = asyncio.create_task(self._tick(ready))
+        polling = asyncio.create_task(self._poll(ready))
         try:
             async with asyncio.timeout(wait_s):
                 await ready
         except TimeoutError:
-            raise self._at_limit(member) from None
+            raise self._limit_error(member) from None
         except asyncio.CancelledError:
-            self._undo_if_taken(waiting)
+            self._return_if_taken(waiting)
             raise
         finally:
-            ticking.cancel()
+            polling.cancel()
             if waiting in queue:
                 queue.remove(waiting)
 
-    def _undo_if_taken(self, waiting: _Waiting) -> None:
+    def _return_if_taken(self, waiting: _Waiter) -> None:
         ready = waiting.ready
         taken = ready.done() and not ready.cancelled()
         if taken and ready.exception() is None:
             for key in waiting.keys:
                 self._share_by_key[key].give_back()
 
-    async def _tick(self, ready: asyncio.Future) -> None:
+    async def _poll(self, ready: asyncio.Future) -> None:
         """Recheck the queues periodically, for new tokens and the lease."""
         while not ready.done():
-            await self._clock.sleep(TICK_S)
-            self._start_waiting()
+            await self._clock.sleep(POLL_S)
+            self._admit_waiting()
 
-    def _at_limit(self, member: str) -> wire.LimitError:
+    def _limit_error(self, member: str) -> wire.LimitError:
         return wire.LimitError(
             f"Member {member} has reached its limit. Retry later.",
             retry_after_s=1.0,
@@ -360,7 +360,7 @@
 
     def _try_take(self, keys: tuple[str, ...], deadline: float) -> bool:
         now = self._clock.now()
-        if keys and deadline > self._promised_until:
+        if keys and deadline > self._confirmed_bound:
             return False
         shares = [self._share(key) for key in keys]
         if not all(share.can_take(now) for share in shares):
@@ -369,7 +369,7 @@
             share.take(now)
         return True
 
-    def _note_wanted(self, keys: tuple[str, ...]) -> None:
+    def _record_wanted(self, keys: tuple[str, ...]) -> None:
         now = self._clock.now()
         for key in keys:
             share = self._share(key)
@@ -379,11 +379,11 @@
                 for waiting in queue
             )
             if isinstance(share, _Rate):
-                share.want(MILLI * max(1, waiting), now)
+                share.record_wanted(MILLI * max(1, waiting), now)
             else:
-                share.want(share.used + waiting, now)
+                share.record_wanted(share.used + waiting, now)
 
-    def _start_waiting(self) -> None:
+    def _admit_waiting(self) -> None:
         """Admit queued requests, or refuse all once the lease has expired.
 
         The shares expire with the lease: the leader may allot them to other
--- a/libs/routing/src/bergamotsail/routing/_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_choice.py
@@ -7,12 +7,12 @@
 from bergamotsail import control
 from bergamotsail import wire
 
-FULL = 1.0
-REPLICATE_QUEUE = 2.0
-COLD_CHOICES = 3
+FULL_LOAD = 1.0
+REPLICATE_LOAD = 2.0
+COLD_CANDIDATES = 3
 PENDING_COST = 0.5
 STICKY_S = 5.0
-STICKY_KEPT = 2_000
+MAX_STICKY = 2_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """Return the running and queued requests per batch slot."""
     status = target.status
     if status is None or not status.batch_slots:
-        return FULL
+        return FULL_LOAD
     return (status.running + status.queued) / status.batch_slots
 
 
@@ -76,7 +76,7 @@
     All daemons compute the same choice for a cold adapter, so that its
     requests reach one target and share one load. A second copy is loaded
     only when the queue for the first outlasts a load: its load has reached
-    REPLICATE_QUEUE, and another target has free slots.
+    REPLICATE_LOAD, and another target has free slots.
     """
 
     def __init__(self) -> None:
@@ -95,9 +95,9 @@
             return self._cold(adapter, targets, now)
         chosen = self._warm(adapter, residents, prefix)
         others = [t for t in targets if t not in residents]
-        if load_of(chosen) >= REPLICATE_QUEUE and others:
+        if load_of(chosen) >= REPLICATE_LOAD and others:
             spare = min(others, key=load_of)
-            if load_of(spare) < FULL:
+            if load_of(spare) < FULL_LOAD:
                 return Choice(spare, "second copy, the first is overloaded")
         return Choice(chosen, "resident")
 
@@ -113,7 +113,7 @@
             key=lambda t: (round(load_of(t), 1), t.id != known, t.id),
         )
         self._target_by_prefix[(adapter, prefix)] = chosen.id
-        if len(self._target_by_prefix) > STICKY_KEPT:
+        if len(self._target_by_prefix) > MAX_STICKY:
             self._target_by_prefix.pop(next(iter(self._target_by_prefix)))
         return chosen
 
@@ -131,10 +131,10 @@
         sticky, at = self._cold_choice_by_adapter.get(adapter, ("", 0.0))
         if sticky in by_id and now - at < STICKY_S:
             return Choice(by_id[sticky], "load ordered there")
-        order = control.rendezvous(adapter, by_id)[:COLD_CHOICES]
+        order = control.rendezvous(adapter, by_id)[:COLD_CANDIDATES]
         chosen = min(order, key=lambda name: cost_of(by_id[name]))
         self._cold_choice_by_adapter[adapter] = (chosen, now)
-        if len(self._cold_choice_by_adapter) > STICKY_KEPT:
+        if len(self._cold_choice_by_adapter) > MAX_STICKY:
             oldest = next(iter(self._cold_choice_by_adapter))
             del self._cold_choice_by_adapter[oldest]
         return Choice(by_id[chosen], "cold, cheapest by hash")
--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_entry.py
@@ -19,9 +19,9 @@
 
 MAX_ATTEMPTS = 4
 RETRY_PAUSE_S = 0.1
-RESUME_FOR_S = 8.0
-MOVE_FOR_S = 8.0
-WATCH_S = 0.25
+MAX_RESUME_S = 8.0
+MAX_OWNER_CHANGE_S = 8.0
+WATCH_INTERVAL_S = 0.25
 PREFIX_CHARS = 64
 SEPARATOR = "~"
 CANCEL_TIMEOUT_S = 2.0
@@ -137,7 +137,7 @@
         """
         self._session.check_fresh()
         adapter = self.resolve(caller, completion.model)
-        _check_resume(completion)
+        _check_resumed_model(completion)
         entry = self._session.view.adapter_by_id[adapter.partition("@")[0]]
         deadline = self._clock.now() + completion.deadline_s
         started_at = self._clock.now()
@@ -148,7 +148,7 @@
             completion.deadline_s,
         )
         async with entered:
-            self._budgets.first_try(caller.member)
+            self._budgets.record_first_try(caller.member)
             attempt = _Attempt(
                 caller,
                 completion,
@@ -230,48 +230,48 @@
                         yield part
                 return
             except wire.ServingError as error:
-                await self._pause_or_raise(attempt, number, error)
+                await self._back_off_or_raise(attempt, number, error)
 
-    async def _pause_or_raise(
+    async def _back_off_or_raise(
         self, attempt: "_Attempt", number: int, error: wire.ServingError
     ) -> None:
         """Back off before the next try, or raise the final error."""
         now = self._clock.now()
         if error.ran is not wire.Ran.NOT_RUN:
             attempt.may_have_run = True
-        if attempt.broken_since is None:
-            attempt.broken_since = now
+        if attempt.failing_since is None:
+            attempt.failing_since = now
         if attempt.point is not None:
-            over = now - attempt.broken_since > RESUME_FOR_S
+            over = now - attempt.failing_since > MAX_RESUME_S
         else:
             over = number >= MAX_ATTEMPTS
         # A target refuses requests while its ownership changes. Nothing has
         # run, so this retry takes no budget and is limited by time only.
         moving = isinstance(error, wire.NotOwnerError)
         if moving:
-            over = now - attempt.broken_since > MOVE_FOR_S
+            over = now - attempt.failing_since > MAX_OWNER_CHANGE_S
             self._session.kick()
-        final = over or not _worth_retrying(error, attempt)
+        final = over or not _is_retryable(error, attempt)
         if final or now + RETRY_PAUSE_S >= attempt.deadline:
-            raise self._final(error, attempt)
+            raise self._final_error(error, attempt)
         if not moving and not self._budgets.spend(attempt.caller.member):
             self._metrics.count("retry_budget_spent")
-            raise self._final(error, attempt)
+            raise self._final_error(error, attempt)
         self._metrics.count("retries", code=error.code)
-        self._decide("Retry", attempt, "-", error.code)
+        self._log_decision("Retry", attempt, "-", error.code)
         if attempt.point is None:
             attempt.new_stream()
         pauses = 1 if moving else number
         await self._clock.sleep(RETRY_PAUSE_S * pauses)
         if not self._session.fresh():
-            raise self._final(error, attempt)
+            raise self._final_error(error, attempt)
 
-    def _final(
+    def _final_error(
         self, error: wire.ServingError, attempt: "_Attempt"
     ) -> wire.ServingError:
         """Return the final error: TruncatedError once parts were sent."""
         self._metrics.count("refusals", code=error.code)
-        self._decide("Refuse", attempt, "-", error.code)
+        self._log_decision("Refuse", attempt, "-", error.code)
         if attempt.point is None:
             if attempt.may_have_run and error.ran is wire.Ran.NOT_RUN:
                 # The last try did not run, but an earlier one may have.
@@ -308,8 +308,8 @@
         given_up = True
         chunks = wire.watched(
             self._run(owner, request),
-            lambda: self._lost(owner, attempt),
-            WATCH_S,
+            lambda: self._stop_reason(owner, attempt),
+            WATCH_INTERVAL_S,
         )
         try:
             async for chunk in chunks:
@@ -341,16 +341,16 @@
             TruncatedError: a chunk is missing before this one.
         """
         held = -1 if attempt.point is None else attempt.point.number
-        strange = (
+        mismatched = (
             chunk.stream_id != request.stream_id
             or chunk.adapter != request.adapter
         )
-        if strange or chunk.number <= held:
+        if mismatched or chunk.number <= held:
             self._metrics.count("chunks_dropped", reason="late")
             return None
         if chunk.number != held + 1:
             raise wire.TruncatedError(f"Chunk {held + 1} is missing.")
-        attempt.broken_since = None
+        attempt.failing_since = None
         attempt.point = ResumePoint(
             request.target,
             chunk.incarnation,
@@ -366,7 +366,7 @@
         """Choose a target and find its owner."""
         if attempt.point is not None:
             target = attempt.point.target
-            self._decide("Resume", attempt, target, "stream is there")
+            self._log_decision("Resume", attempt, target, "stream is there")
             return target, self._owner_of(target)
         usable = self._usable_targets(attempt)
         fresh = [target for target in usable if target.id not in tried]
@@ -376,7 +376,7 @@
         choice = self._routing.choose(
             attempt.adapter, fresh or usable, prefix, self._clock.now()
         )
-        self._decide("Send", attempt, choice.target.id, choice.reason)
+        self._log_decision("Send", attempt, choice.target.id, choice.reason)
         return choice.target.id, self._owner_of(choice.target.id)
 
     def _usable_targets(self, attempt: "_Attempt") -> list[control.TargetInfo]:
@@ -438,10 +438,10 @@
             owner.address,
             placement.RUN,
             request,
-            request.left_s + RESUME_FOR_S,
+            request.left_s + MAX_RESUME_S,
         )
 
-    def _lost(
+    def _stop_reason(
         self, owner: control.DaemonInfo, attempt: "_Attempt"
     ) -> wire.ServingError | None:
         """Return the reason to stop waiting for the answer, or None."""
@@ -476,7 +476,7 @@
                     owner.address, placement.CANCEL, cancel, CANCEL_TIMEOUT_S
                 )
 
-    def _decide(
+    def _log_decision(
         self, what: str, attempt: "_Attempt", target: str, reason: str
     ) -> None:
         observe.log_decision(
@@ -500,7 +500,7 @@
 
     Args:
         point: position of the last part sent to the caller, if any.
-        broken_since: start of the current series of failed tries, if any.
+        failing_since: start of the current series of failed tries, if any.
         may_have_run: whether any failed try may have run.
     """
 
@@ -511,7 +511,7 @@
     deadline: float
     stream_id: str = ""
     point: ResumePoint | None = None
-    broken_since: float | None = None
+    failing_since: float | None = None
     may_have_run: bool = False
 
     def __post_init__(self) -> None:
@@ -522,7 +522,7 @@
         self.stream_id = f"{self.caller.member}:{uuid.uuid4().hex}"
 
 
-def _check_resume(completion: Completion) -> None:
+def _check_resumed_model(completion: Completion) -> None:
     """Refuse to resume a stream of another adapter or version."""
     if completion.resume is None:
         return
@@ -534,7 +534,7 @@
         )
 
 
-def _worth_retrying(error: wire.ServingError, attempt: _Attempt) -> bool:
+def _is_retryable(error: wire.ServingError, attempt: _Attempt) -> bool:
     """Whether another target, or the same one later, may succeed.
 
     Model requests are idempotent, so a request with an unknown outcome is
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -24,7 +24,7 @@
 from bergamotsail.routing import _service_choice
 from bergamotsail import wire
 
-MOST_SENDS = 6
+MAX_SENDS = 6
 CONNECT_TIMEOUT_S = 0.5
 RETRY_AFTER_S = 0.5
 # An instance learns its routes 0.2 to 0.8 s after it starts serving, once it
@@ -35,21 +35,21 @@
 ROUTES_POLL_S = 0.01
 NO_ROUTES_RETRY_S = 0.3
 DEFAULT_PATIENCE_S = 30.0
-PLACE_SHARE = 0.7
-PLACE_OBJECTIVES = 3.0
-HOPE_OBJECTIVES = 1.5
+PLACEMENT_WAIT_SHARE = 0.7
+PLACEMENT_WAIT_OBJECTIVES = 3.0
+REFUSE_AFTER_OBJECTIVES = 1.5
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
 SERVER_ERROR = 500
-LATE_S = 0.03
+DEADLINE_MARGIN_S = 0.03
 # Pauses of an engine up to this length are waited out: it is about the time
 # to load the adapter on another engine, which would evict another adapter.
 SHORT_PAUSE_S = 0.5
 # Requests that waited for a pause resume after a random delay of up to this
 # fraction of it, to avoid a thundering herd.
-PAUSE_SPREAD = 0.25
-MOST_ROUTES_KNOWN = 10_000
-BROKEN_OFF = "broken_off"
+PAUSE_JITTER = 0.25
+MAX_TRACKED_ROUTES = 10_000
+ABORTED = "broken_off"
 
 CallerAnswer = _forward_types.CallerAnswer
 CallerRequest = _forward_types.CallerRequest
@@ -57,7 +57,7 @@
 Outcome = placement.UseOutcome
 
 
-class _TryNextError(wire.ServingError):
+class _RetryableError(wire.ServingError):
     """A send failed and the attempt may be sent again.
 
     Args:
@@ -67,13 +67,13 @@
     code = "try_next"
 
 
-class _ClosedError(_TryNextError):
+class _NotAcceptingError(_RetryableError):
     """The target accepts no work at the moment; nothing was sent."""
 
     code = "closed"
 
 
-class _BadAnswerError(wire.PeerLostError):
+class _InvalidAnswerError(wire.PeerLostError):
     """The received answer is incomplete or belongs to another request."""
 
 
@@ -89,25 +89,25 @@
     route: catalogue.Route
     pool: catalogue.RoutePool
     answer: CallerAnswer
-    ends_at: float
+    deadline: float
     age_s: float
     avoid: set[str] = dataclasses.field(default_factory=set)
     sends: int = 0
     places: int = 0
     runs: int = 0
     last_event: str | None = None
-    event_tail: bytes = b""
+    partial_event: bytes = b""
     target: str = ""
-    broken: bool = False
-    begun: collections.abc.Callable[[], None] | None = None
+    aborted: bool = False
+    on_first_piece: collections.abc.Callable[[], None] | None = None
     sent_at: float = 0.0
-    piece_at: float | None = None
+    last_piece_at: float | None = None
     longest_pause_s: float = 0.0
-    subject: _fatal.Subject = dataclasses.field(init=False)
+    tracked: _fatal.TrackedRequest = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
         request = self.request
-        self.subject = _fatal.Subject(
+        self.tracked = _fatal.TrackedRequest(
             request.id,
             request.member,
             self.pool.name,
@@ -115,16 +115,16 @@
             lambda: wire.Ran.UNKNOWN if self.runs else wire.Ran.NOT_RUN,
         )
 
-    def note_piece(self, now: float) -> None:
+    def record_piece(self, now: float) -> None:
         """Record the arrival of a piece of the answer."""
-        if self.piece_at is not None:
-            pause_s = now - self.piece_at
+        if self.last_piece_at is not None:
+            pause_s = now - self.last_piece_at
             self.longest_pause_s = max(self.longest_pause_s, pause_s)
-        self.piece_at = now
+        self.last_piece_at = now
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the answer so that the caller sees it is incomplete."""
-        self.broken = True
+        self.aborted = True
         self.answer.abort()
 
 
@@ -161,7 +161,7 @@
         self._datacentre = datacentre
         self._clock = clock
         self.active = 0
-        self._longest_by_route: dict[str, float] = {}
+        self._max_patience_by_route: dict[str, float] = {}
         self._running_by_target: collections.Counter[str] = (
             collections.Counter()
         )
@@ -188,10 +188,10 @@
         attempt: _Attempt | None = None
         try:
             await self._wait_for_routes(request)
-            attempt = self._begin(request, answer)
+            attempt = self._start_attempt(request, answer)
             await self._serve_in_time(attempt)
-            if attempt.broken:
-                code = BROKEN_OFF
+            if attempt.aborted:
+                code = ABORTED
         except wire.ServingError as error:
             code = error.code
             raise
@@ -216,7 +216,9 @@
                 return
             await self._clock.sleep(ROUTES_POLL_S)
 
-    def _begin(self, request: CallerRequest, answer: CallerAnswer) -> _Attempt:
+    def _start_attempt(
+        self, request: CallerRequest, answer: CallerAnswer
+    ) -> _Attempt:
         routes = self._session.view.routes
         if routes.table.version == 0:
             raise wire.OverloadError(
@@ -229,23 +231,25 @@
                 "No route matches this host and path. Check both."
             )
         patience_s = request.patience_s or DEFAULT_PATIENCE_S
-        ends_at = request.arrived_at + min(patience_s, route.timeout_s)
+        deadline = request.arrived_at + min(patience_s, route.timeout_s)
         pool = routes.pool_of(route, request.id)
         self._budgets.count(pool.name)
-        age_s = self._age_s(route, patience_s)
-        return _Attempt(request, route, pool, answer, ends_at, age_s)
+        age_s = self._estimate_age_s(route, patience_s)
+        return _Attempt(request, route, pool, answer, deadline, age_s)
 
-    def _age_s(self, route: catalogue.Route, patience_s: float) -> float:
+    def _estimate_age_s(
+        self, route: catalogue.Route, patience_s: float
+    ) -> float:
         """Estimate how long the caller had been trying before this attempt.
 
         Callers of a route start with about the same patience and retry with
         the remainder, so the difference to the longest patience seen on the
         route approximates the time already spent.
         """
-        if len(self._longest_by_route) > MOST_ROUTES_KNOWN:
-            self._longest_by_route.clear()
-        longest_s = self._longest_by_route.get(route.name, 0.0)
-        self._longest_by_route[route.name] = max(longest_s, patience_s)
+        if len(self._max_patience_by_route) > MAX_TRACKED_ROUTES:
+            self._max_patience_by_route.clear()
+        longest_s = self._max_patience_by_route.get(route.name, 0.0)
+        self._max_patience_by_route[route.name] = max(longest_s, patience_s)
         return max(longest_s - patience_s, 0.0)
 
     def _log_end(
@@ -275,36 +279,36 @@
         )
 
     async def _serve_in_time(self, attempt: _Attempt) -> None:
-        left_s = attempt.ends_at - self._clock.now() - LATE_S
+        left_s = attempt.deadline - self._clock.now() - DEADLINE_MARGIN_S
         try:
             async with asyncio.timeout(max(left_s, 0.0)):
                 await self._serve(attempt)
         except TimeoutError:
-            self._give_up(attempt)
+            self._time_out(attempt)
 
-    def _give_up(self, attempt: _Attempt) -> None:
+    def _time_out(self, attempt: _Attempt) -> None:
         """End an attempt whose deadline has passed."""
         late = wire.DeadlineError(
             "The target did not answer in time.", ran=wire.Ran.UNKNOWN
         )
-        _end(
+        _abort_or_raise(
             attempt, "No target accepted the request before its deadline", late
         )
 
     async def _serve(self, attempt: _Attempt) -> None:
         last: wire.ServingError | None = None
-        while attempt.sends < MOST_SENDS:
-            self._guard.check(attempt.subject)
+        while attempt.sends < MAX_SENDS:
+            self._guard.check(attempt.tracked)
             if attempt.sends > 0 and not self._may_repeat(attempt):
                 break
             try:
-                left_s = attempt.ends_at - self._clock.now()
-                async with self._guard.alone(attempt.subject, left_s):
+                left_s = attempt.deadline - self._clock.now()
+                async with self._guard.exclusive(attempt.tracked, left_s):
                     await self._try(attempt)
                 return
-            except _TryNextError as error:
+            except _RetryableError as error:
                 last = error
-        self._fail(attempt, last)
+        self._abort_or_refuse(attempt, last)
 
     async def _try(self, attempt: _Attempt) -> None:
         if attempt.pool.engine is not None and attempt.request.model:
@@ -318,13 +322,17 @@
             return False
         if attempt.runs > 0 and not attempt.route.repeatable:
             return False
-        if not attempt.subject.may_go_on:
+        if not attempt.tracked.may_retry:
             return False
         return self._budgets.take(attempt.pool.name)
 
-    def _fail(self, attempt: _Attempt, last: wire.ServingError | None) -> None:
+    def _abort_or_refuse(
+        self, attempt: _Attempt, last: wire.ServingError | None
+    ) -> None:
         """End an attempt that will not be sent again."""
-        _end(attempt, "No target accepts the request", _lost_answer(), last)
+        _abort_or_raise(
+            attempt, "No target accepts the request", _unknown_outcome(), last
+        )
 
     # Plain services
 
@@ -368,32 +376,36 @@
 
         Raises:
             OverloadError: the pause is too long, or no target is paused.
-            _ClosedError: the pause is over; the attempt may be retried.
+            _NotAcceptingError: the pause is over; the attempt may be retried.
         """
         pause_s = min(self._pauses_s(attempt), default=0.0)
         if pause_s == 0.0:
-            self._fail(attempt, None)
+            self._abort_or_refuse(attempt, None)
             return
-        left_s = attempt.ends_at - self._clock.now()
-        if pause_s * (1 + PAUSE_SPREAD) > left_s * PLACE_SHARE:
-            _end(
+        left_s = attempt.deadline - self._clock.now()
+        if pause_s * (1 + PAUSE_JITTER) > left_s * PLACEMENT_WAIT_SHARE:
+            _abort_or_raise(
                 attempt,
                 "All targets have paused new work",
-                _lost_answer(),
+                _unknown_outcome(),
                 retry_after_s=pause_s,
             )
             return
-        await self._wait_out(attempt, pause_s)
+        await self._wait_for_pause_end(attempt, pause_s)
 
-    async def _wait_out(self, attempt: _Attempt, pause_s: float) -> None:
+    async def _wait_for_pause_end(
+        self, attempt: _Attempt, pause_s: float
+    ) -> None:
         """Sleep until a pause is over, then have the attempt retried.
 
         Raises:
-            _ClosedError: always, after the pause.
+            _NotAcceptingError: always, after the pause.
         """
-        spread_s = pause_s * PAUSE_SPREAD * self._rng.random()
+        spread_s = pause_s * PAUSE_JITTER * self._rng.random()
         await self._clock.sleep(pause_s + spread_s)
-        raise _ClosedError("The target was paused.", ran=wire.Ran.NOT_RUN)
+        raise _NotAcceptingError(
+            "The target was paused.", ran=wire.Ran.NOT_RUN
+        )
 
     # Engines
 
@@ -421,19 +433,19 @@
                 model.output_tokens,
                 model.parts,
                 attempt.route.priority,
-                self._patience_s(attempt),
+                self._placement_patience_s(attempt),
                 self._datacentre,
                 (*attempt.avoid, *closed),
                 self._clock.now() - request.arrived_at,
                 attempt.route.objective_s,
-                attempt.route.objective_s * HOPE_OBJECTIVES,
+                attempt.route.objective_s * REFUSE_AFTER_OBJECTIVES,
                 attempt.age_s,
             )
         )
         outcome = Outcome.LEFT
         try:
             self._check_open(attempt, place.target)
-        except _ClosedError:
+        except _NotAcceptingError:
             self._places.give_back(name, place.target, outcome)
             await self._wait_for_engine(attempt, place.target)
             raise
@@ -442,21 +454,21 @@
         )
         placed_at = self._clock.now()
 
-        def begun() -> None:
+        def report_first_piece() -> None:
             """Report the time to the first piece of the answer, once."""
-            attempt.begun = None
+            attempt.on_first_piece = None
             first_s = self._clock.now() - placed_at
             self._places.begun(name, place.target, first_s)
 
-        attempt.begun = begun
+        attempt.on_first_piece = report_first_piece
         try:
             await self._send(attempt, destination)
-            outcome = Outcome.FAILED if attempt.broken else Outcome.DONE
-        except _TryNextError as error:
+            outcome = Outcome.FAILED if attempt.aborted else Outcome.DONE
+        except _RetryableError as error:
             outcome = _outcome_of(error)
             raise
         finally:
-            attempt.begun = None
+            attempt.on_first_piece = None
             self._places.give_back(name, place.target, outcome)
 
     def _check_open(self, attempt: _Attempt, target: str) -> None:
@@ -466,7 +478,7 @@
         placement, before the instance list or the leader knows about it.
 
         Raises:
-            _ClosedError: the target accepts no work.
+            _NotAcceptingError: the target accepts no work.
         """
         now = self._clock.now()
         leaving = self._session.heard.is_leaving(target)
@@ -481,7 +493,7 @@
             leaving=leaving,
             pause_left_s=round(pause_s, 3),
         )
-        raise _ClosedError(
+        raise _NotAcceptingError(
             "The target is leaving or paused.", ran=wire.Ran.NOT_RUN
         )
 
@@ -489,16 +501,18 @@
         """Wait out a short pause of an engine, else avoid the engine."""
         heard = self._session.heard
         pause_s = heard.pause_left_s(target, self._clock.now())
-        short = pause_s <= min(SHORT_PAUSE_S, self._patience_s(attempt))
+        short = pause_s <= min(
+            SHORT_PAUSE_S, self._placement_patience_s(attempt)
+        )
         if heard.is_leaving(target) or not short:
             attempt.avoid.add(target)
             return
-        await self._wait_out(attempt, pause_s)
+        await self._wait_for_pause_end(attempt, pause_s)
 
-    def _patience_s(self, attempt: _Attempt) -> float:
-        left_s = attempt.ends_at - self._clock.now()
-        objectives_s = attempt.route.objective_s * PLACE_OBJECTIVES
-        return max(min(left_s * PLACE_SHARE, objectives_s), 0.0)
+    def _placement_patience_s(self, attempt: _Attempt) -> float:
+        left_s = attempt.deadline - self._clock.now()
+        objectives_s = attempt.route.objective_s * PLACEMENT_WAIT_OBJECTIVES
+        return max(min(left_s * PLACEMENT_WAIT_SHARE, objectives_s), 0.0)
 
     # Sending
 
@@ -515,7 +529,7 @@
             address,
             version,
             min(attempt.route.priority, 9),
-            attempt.ends_at - self._clock.now(),
+            attempt.deadline - self._clock.now(),
             resume,
         )
 
@@ -523,7 +537,7 @@
         """Send to one target and relay its answer."""
         # The request may have been quarantined, or the target may have
         # announced a pause, while this attempt waited for its placement.
-        self._guard.check(attempt.subject)
+        self._guard.check(attempt.tracked)
         self._check_open(attempt, destination.target)
         request = attempt.request
         attempt.sends += 1
@@ -554,40 +568,42 @@
         try:
             async with exchange:
                 head = await exchange.head()
-                await self._pass_on(attempt, exchange, head)
-            self._guard.served(attempt.subject, destination.target)
+                await self._relay_answer(attempt, exchange, head)
+            self._guard.served(attempt.tracked, destination.target)
         except wire.NotSentError as error:
-            raise _next(error, wire.Ran.NOT_RUN) from error
-        except _BadAnswerError as error:
+            raise _retryable(error, wire.Ran.NOT_RUN) from error
+        except _InvalidAnswerError as error:
             attempt.runs += 1
-            self._lost(attempt, error)
+            self._handle_lost_answer(attempt, error)
         except wire.PeerLostError as error:
             attempt.runs += 1
-            self._guard.lost(attempt.subject, destination.target)
-            self._lost(attempt, error)
+            self._guard.lost(attempt.tracked, destination.target)
+            self._handle_lost_answer(attempt, error)
         except asyncio.CancelledError:
             if exchange.sent:
                 attempt.runs += 1
             raise
         finally:
-            self._sent_is_over(destination.target)
+            self._count_send_ended(destination.target)
 
-    def _sent_is_over(self, target: str) -> None:
+    def _count_send_ended(self, target: str) -> None:
         self._running_by_target[target] -= 1
         if self._running_by_target[target] <= 0:
             del self._running_by_target[target]
 
-    def _lost(self, attempt: _Attempt, error: wire.ServingError) -> None:
+    def _handle_lost_answer(
+        self, attempt: _Attempt, error: wire.ServingError
+    ) -> None:
         """Retry on another target if that is allowed, else abort.
 
         Raises:
-            _TryNextError: the attempt may be sent again.
+            _RetryableError: the attempt may be sent again.
         """
         observe.log_event(
             "route",
             "lost",
             request=attempt.request.id,
-            identity=attempt.subject.identity,
+            identity=attempt.tracked.identity,
             body_bytes=len(attempt.request.body),
             target=attempt.target,
             since_send_s=round(self._clock.now() - attempt.sent_at, 4),
@@ -598,18 +614,18 @@
         if attempt.answer.started and not (
             resumable and attempt.route.repeatable
         ):
-            attempt.break_off()
+            attempt.abort()
             return
-        raise _next(error, wire.Ran.UNKNOWN) from error
+        raise _retryable(error, wire.Ran.UNKNOWN) from error
 
-    async def _pass_on(
+    async def _relay_answer(
         self,
         attempt: _Attempt,
         exchange: wire.Exchange,
         head: wire.ReplyHead,
     ) -> None:
         reading = self._dialect.read(attempt.request, head)
-        self._heed(attempt, reading)
+        self._record_announcements(attempt, reading)
         observe.log_event(
             "route",
             "answer",
@@ -628,39 +644,41 @@
                 f"The target refused the request: {code}."
             )
             error.code = code
-            raise _next(error, wire.Ran.NOT_RUN)
+            raise _retryable(error, wire.Ran.NOT_RUN)
         if not reading.own or not reading.genuine:
-            raise _BadAnswerError(
+            raise _InvalidAnswerError(
                 "The answer does not belong to this request."
             )
         if head.status >= SERVER_ERROR and not attempt.answer.started:
-            if attempt.route.repeatable and self._others_left(attempt):
+            if attempt.route.repeatable and self._has_other_target(attempt):
                 attempt.runs += 1
                 error = wire.EngineError("The target failed the request.")
-                raise _next(error, wire.Ran.FAILED)
-        attempt.event_tail = b""
+                raise _retryable(error, wire.Ran.FAILED)
+        attempt.partial_event = b""
         if not attempt.answer.started:
             attempt.answer.start(head.status, self._dialect.returning(head))
         elif head.status >= 300:
-            raise _BadAnswerError("The target could not resume the stream.")
+            raise _InvalidAnswerError(
+                "The target could not resume the stream."
+            )
         streams = attempt.route.kind is catalogue.RouteKind.STREAM
         whole = streams and attempt.route.resumable
         async for piece in exchange.pieces():
-            attempt.note_piece(self._clock.now())
-            if attempt.begun is not None:
-                attempt.begun()
+            attempt.record_piece(self._clock.now())
+            if attempt.on_first_piece is not None:
+                attempt.on_first_piece()
             if whole:
-                piece = _whole_events(attempt, piece)
+                piece = _complete_events(attempt, piece)
             if piece:
                 await attempt.answer.write(piece)
-        if attempt.event_tail:
-            raise _BadAnswerError(
+        if attempt.partial_event:
+            raise _InvalidAnswerError(
                 "The stream ended in the middle of an event."
             )
         attempt.runs += 1
         await attempt.answer.finish()
 
-    def _heed(
+    def _record_announcements(
         self, attempt: _Attempt, reading: _forward_types.Reading
     ) -> None:
         """Record a drain or pause that a target announces in its answer."""
@@ -676,15 +694,15 @@
         heard, now = self._session.heard, self._clock.now()
         if reading.leaving.is_set and heard.leaves(attempt.target):
             self._metrics.count("targets_heard_leaving")
-            self._log_heard(attempt, "leaving", None)
+            self._log_announcement(attempt, "leaving", None)
             # Tell the other daemons before they hear it from the target.
             self._session.kick()
         if reading.pause.value is not None:
             until = heard.pauses(attempt.target, reading.pause.value, now)
             self._metrics.count("targets_heard_pausing")
-            self._log_heard(attempt, "pause", until - now)
+            self._log_announcement(attempt, "pause", until - now)
 
-    def _log_heard(
+    def _log_announcement(
         self, attempt: _Attempt, what: str, left_s: float | None
     ) -> None:
         observe.log_event(
@@ -695,16 +713,16 @@
             left_s=None if left_s is None else round(left_s, 3),
         )
 
-    def _others_left(self, attempt: _Attempt) -> bool:
+    def _has_other_target(self, attempt: _Attempt) -> bool:
         if attempt.runs + 1 >= attempt.route.attempts:
             return False
         others = _service_choice.candidates(
             attempt.pool.name, self._session.open_targets(), attempt.avoid
         )
-        return attempt.sends < MOST_SENDS and any(others)
+        return attempt.sends < MAX_SENDS and any(others)
 
 
-def _end(
+def _abort_or_raise(
     attempt: _Attempt,
     reason: str,
     if_it_ran: wire.ServingError,
@@ -713,7 +731,7 @@
 ) -> None:
     """Abort an answer that has started, else raise the final error."""
     if attempt.answer.started:
-        attempt.break_off()
+        attempt.abort()
         return
     if attempt.runs == 0:
         raise wire.OverloadError(
@@ -722,7 +740,7 @@
     raise if_it_ran from cause
 
 
-def _lost_answer() -> wire.ServingError:
+def _unknown_outcome() -> wire.ServingError:
     return wire.UnknownOutcomeError(
         "The target's answer was lost; the request may have run."
     )
@@ -741,8 +759,8 @@
     return f"{request.model.model}/{request.model.adapter}"
 
 
-def _next(error: wire.ServingError, ran: wire.Ran) -> _TryNextError:
-    following = _TryNextError(error.message, ran=ran)
+def _retryable(error: wire.ServingError, ran: wire.Ran) -> _RetryableError:
+    following = _RetryableError(error.message, ran=ran)
     following.code = error.code
     return following
 
@@ -752,20 +770,20 @@
         return Outcome.ABSENT
     if error.code == "refused":
         return Outcome.REFUSED
-    if error.code == _ClosedError.code:
+    if error.code == _NotAcceptingError.code:
         return Outcome.LEFT
     return Outcome.FAILED
 
 
-def _whole_events(attempt: _Attempt, piece: bytes) -> bytes:
+def _complete_events(attempt: _Attempt, piece: bytes) -> bytes:
     """Return the complete events so far and record the last event id."""
-    data = attempt.event_tail + piece
+    data = attempt.partial_event + piece
     end = data.rfind(EVENT_END)
     if end < 0:
-        attempt.event_tail = data
+        attempt.partial_event = data
         return b""
     whole = data[: end + len(EVENT_END)]
-    attempt.event_tail = data[end + len(EVENT_END) :]
+    attempt.partial_event = data[end + len(EVENT_END) :]
     for line in whole.split(b"\n"):
         if line.startswith(ID_FIELD):
             attempt.last_event = line[len(ID_FIELD) :].strip().decode()
--- a/libs/routing/src/bergamotsail/routing/_keys.py
+++ b/libs/routing/src/bergamotsail/routing/_keys.py
@@ -9,7 +9,7 @@
 
 from bergamotsail import wire
 
-LONGEST = 200
+MAX_KEY_LENGTH = 200
 _MS = 1000
 
 
@@ -22,7 +22,7 @@
     Raises:
         IdempotencyKeyError: the key is empty, too long or has no timestamp.
     """
-    if not key or len(key) > LONGEST:
+    if not key or len(key) > MAX_KEY_LENGTH:
         raise _bad_key()
     try:
         parsed = uuid.UUID(key)
--- a/libs/routing/src/bergamotsail/routing/_places.py
+++ b/libs/routing/src/bergamotsail/routing/_places.py
@@ -12,14 +12,14 @@
 from bergamotsail.routing import _survey
 from bergamotsail import wire
 
-ASK_S = 1.5
-SLACK_S = 0.15
+ASK_TIMEOUT_S = 1.5
+ASK_MARGIN_S = 0.15
 ASK_RETRY_S = 0.05
-MOST_PAUSE_S = 0.3
+MAX_RETRY_PAUSE_S = 0.3
 RELEASE_SPACING_S = 0.01
 # Approximate limit for all daemons together; the leader needs about 0.4 ms
 # to process a release.
-MOST_RELEASES_PER_S = 300.0
+MAX_RELEASES_PER_S = 300.0
 # Approximate limit for all daemons together, so that a new leader is not
 # flooded with placement requests.
 MOST_ASKS_PER_S = 600.0
@@ -30,21 +30,21 @@
 # After a leader change a daemon may hold more requests than its rate admits.
 # In order of arrival all would miss their objective, so requests that have
 # already missed it poll for a spare token at this interval.
-LATE_PAUSE_S = 0.05
+LATE_POLL_S = 0.05
 # After the leader is lost, one request of each daemon probes for the next
 # leader; the others retry at this interval.
-SEARCH_PAUSE_S = 0.5
+LEADER_POLL_S = 0.5
 # While a survey of the engines runs, requests check its results this often.
 SURVEY_POLL_S = 0.05
 RELEASE_TIMEOUT_S = 0.5
-MOST_RELEASES = 500
-REMEMBERED = 500
-REMEMBERED_S = 20.0
-MOST_REDIRECTS = 2
+MAX_QUEUED_RELEASES = 500
+MAX_CACHED = 500
+CACHE_TTL_S = 20.0
+MAX_REDIRECTS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Remembered:
+class _CachedPlacement:
     reply: placement.PlaceReply
     at: float
 
@@ -55,7 +55,7 @@
     code = "leader_moved"
 
 
-class AskBudget:
+class AskRateLimiter:
     """Token bucket that limits a daemon's rate of placement requests.
 
     Args:
@@ -73,12 +73,12 @@
         self._tokens = LEAST_BURST
         self._at = clock.now()
 
-    def spare(self) -> bool:
+    def has_token(self) -> bool:
         """Whether a token is available without waiting."""
         since_s = self._clock.now() - self._at
         return self._tokens + since_s * self._per_s() >= 1.0
 
-    def wait_s(self) -> float:
+    def reserve(self) -> float:
         """Take a token and return how long to wait before using it.
 
         Example: at 10 tokens a second, of 4 simultaneous calls two return 0
@@ -115,22 +115,22 @@
         self._clock = clock
         self._use_by_request: dict[str, control.Use] = {}
         self._ended: collections.deque[placement.EndedUse] = collections.deque(
-            maxlen=MOST_RELEASES
+            maxlen=MAX_QUEUED_RELEASES
         )
-        self._remembered: collections.OrderedDict[
-            tuple[str, str, str], _Remembered
+        self._cache: collections.OrderedDict[
+            tuple[str, str, str], _CachedPlacement
         ] = collections.OrderedDict()
         self._begun: collections.deque[placement.BegunUse] = collections.deque(
-            maxlen=MOST_RELEASES
+            maxlen=MAX_QUEUED_RELEASES
         )
         self._wake = asyncio.Event()
         self._background = wire.Background()
-        self._searching = False
-        self._looking: asyncio.Task | None = None
-        self._found = asyncio.Event()
+        self._probing = False
+        self._survey_task: asyncio.Task | None = None
+        self._retry_now = asyncio.Event()
         # A daemon that has just started has not lost its leader.
-        self._heard_at = clock.now()
-        self._budget = AskBudget(
+        self._leader_heard_at = clock.now()
+        self._limiter = AskRateLimiter(
             lambda: MOST_ASKS_PER_S / self._daemons(), clock
         )
 
@@ -143,8 +143,8 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        if self._looking is not None:
-            self._looking.cancel()
+        if self._survey_task is not None:
+            self._survey_task.cancel()
         await self._background.stop()
 
     def uses(self) -> tuple[control.Use, ...]:
@@ -165,57 +165,62 @@
         pause_s = ASK_RETRY_S
         last: wire.ServingError | None = None
         while (left_s := deadline - self._clock.now()) > 0:
-            known = self._without_leader(request, left_s)
+            known = self._place_without_leader(request, left_s)
             if known is not None:
-                return self._took(request, known)
-            if self._looking is not None and not self._looking.done():
+                return self._register_use(request, known)
+            if self._survey_task is not None and not self._survey_task.done():
                 await self._clock.sleep(min(SURVEY_POLL_S, left_s))
                 continue
             waited_s = request.waited_s + self._clock.now() - started_at
-            if waited_s > request.objective_s and not self._budget.spare():
+            if (
+                waited_s > request.objective_s
+                and not self._limiter.has_token()
+            ):
                 # Requests that can still meet their objective go first.
-                await self._clock.sleep(min(LATE_PAUSE_S, left_s))
+                await self._clock.sleep(min(LATE_POLL_S, left_s))
                 continue
-            turn_s = self._budget.wait_s()
-            if turn_s >= left_s:
+            delay_s = self._limiter.reserve()
+            if delay_s >= left_s:
                 break
-            if turn_s > 0.0:
-                await self._clock.sleep(turn_s)
-            asked = dataclasses.replace(
+            if delay_s > 0.0:
+                await self._clock.sleep(delay_s)
+            call_request = dataclasses.replace(
                 request,
-                patience_s=min(max(deadline - self._clock.now(), 0.0), ASK_S),
+                patience_s=min(
+                    max(deadline - self._clock.now(), 0.0), ASK_TIMEOUT_S
+                ),
                 waited_s=request.waited_s + self._clock.now() - started_at,
-                releases=self._pending(),
+                releases=self._take_releases(),
             )
             try:
-                reply = await self._ask(asked)
-                self._leader_answers()
-                return self._took(request, reply)
+                reply = await self._ask(call_request)
+                self._on_leader_reply()
+                return self._register_use(request, reply)
             except LeaderMovedError:
                 continue
             except wire.StillWaitingError:
-                self._heard_at = self._clock.now()
+                self._leader_heard_at = self._clock.now()
                 continue
             except wire.NoPlaceError:
-                self._heard_at = self._clock.now()
+                self._leader_heard_at = self._clock.now()
                 raise
             except wire.ServingError as error:
                 last = error
-                self._put_back(error, asked.releases)
+                self._requeue_releases(error, call_request.releases)
                 if isinstance(error, wire.BehindError):
-                    self._heard_at = self._clock.now()
+                    self._leader_heard_at = self._clock.now()
                     pause_s = max(pause_s, error.retry_after_s or 0.0)
-                remembered = self._recall(request)
-                if remembered is not None:
-                    return self._took(request, remembered)
+                cached = self._cached_placement(request)
+                if cached is not None:
+                    return self._register_use(request, cached)
             await self._pause(min(pause_s, left_s))
-            pause_s = min(pause_s * 2, MOST_PAUSE_S)
+            pause_s = min(pause_s * 2, MAX_RETRY_PAUSE_S)
         raise wire.OverloadError(
             "No placement was granted in time. Retry later.",
             retry_after_s=1.0,
         ) from last
 
-    def _pending(self) -> placement.ReleaseRequest | None:
+    def _take_releases(self) -> placement.ReleaseRequest | None:
         """Take the queued releases, to be sent with the next call."""
         if not self._ended and not self._begun:
             return None
@@ -225,7 +230,7 @@
         self._begun.clear()
         return placement.ReleaseRequest(self._session.boot, ended, begun)
 
-    def _put_back(
+    def _requeue_releases(
         self,
         error: wire.ServingError,
         releases: placement.ReleaseRequest | None,
@@ -241,23 +246,23 @@
 
         One request of this daemon probes the leader after *pause_s*. The
         others wait until a reply or a survey wakes them, but no longer than
-        the larger of *pause_s* and SEARCH_PAUSE_S.
+        the larger of *pause_s* and LEADER_POLL_S.
         """
-        if not self._searching:
-            self._searching = True
+        if not self._probing:
+            self._probing = True
             try:
                 await self._clock.sleep(pause_s)
             finally:
-                self._searching = False
+                self._probing = False
             return
-        await wire.wait_event(self._found, max(pause_s, SEARCH_PAUSE_S))
+        await wire.wait_event(self._retry_now, max(pause_s, LEADER_POLL_S))
 
     def _silent_s(self) -> float:
         """Return the time since any call last heard from a leader."""
-        heard_s = self._clock.now() - self._heard_at
+        heard_s = self._clock.now() - self._leader_heard_at
         return min(heard_s, self._session.silent_s())
 
-    def _without_leader(
+    def _place_without_leader(
         self, request: placement.PlaceRequest, left_s: float
     ) -> placement.PlaceReply | None:
         """Return a placement found without the leader, once it is lost.
@@ -271,11 +276,13 @@
                 to stay lost for longer than the request can wait.
         """
         silent_s = self._silent_s()
-        if silent_s < _silence.LONG_S:
+        if silent_s < _silence.LEADER_LOST_S:
             if self._survey is not None:
-                self._survey.forget()
+                self._survey.clear()
             return None
-        known = self._surveyed(request) or self._recall(request)
+        known = self._surveyed_placement(request) or self._cached_placement(
+            request
+        )
         if known is None and _silence.outlasts(silent_s, left_s):
             raise wire.OverloadError(
                 "No leader is available to grant placements. Retry later.",
@@ -283,16 +290,16 @@
             )
         return known
 
-    def _surveyed(
+    def _surveyed_placement(
         self, request: placement.PlaceRequest
     ) -> placement.PlaceReply | None:
         """Return a placement on an engine that reported the adapter."""
         if self._survey is None:
             return None
         known = {info.id: info for info in self._session.open_targets()}
-        due = self._survey.due(request.pool, known.values())
-        if due and (self._looking is None or self._looking.done()):
-            self._looking = asyncio.create_task(self._look(due))
+        unasked = self._survey.unasked(request.pool, known.values())
+        if unasked and (self._survey_task is None or self._survey_task.done()):
+            self._survey_task = asyncio.create_task(self._run_survey(unasked))
         return self._survey.choose(
             request,
             known,
@@ -300,31 +307,31 @@
             self._daemons(),
         )
 
-    async def _look(self, due: list[control.TargetInfo]) -> None:
+    async def _run_survey(self, unasked: list[control.TargetInfo]) -> None:
         """Collect reports from engines and wake the waiting requests."""
         assert self._survey is not None
-        await self._survey.look(due)
-        self._wake_waiting()
+        await self._survey.collect(unasked)
+        self._wake_waiters()
 
-    def _leader_answers(self) -> None:
+    def _on_leader_reply(self) -> None:
         """Note a reply of the leader and wake the waiting requests."""
-        self._heard_at = self._clock.now()
-        self._wake_waiting()
+        self._leader_heard_at = self._clock.now()
+        self._wake_waiters()
 
-    def _wake_waiting(self) -> None:
+    def _wake_waiters(self) -> None:
         """Make all requests that wait for a retry proceed now."""
-        self._found.set()
-        self._found = asyncio.Event()
+        self._retry_now.set()
+        self._retry_now = asyncio.Event()
 
     async def _ask(
-        self, asked: placement.PlaceRequest
+        self, call_request: placement.PlaceRequest
     ) -> placement.PlaceReply:
         """Ask the presumed leader, following redirects to the actual one."""
         address: str | None = self._session.leader.address
         last: wire.ServingError | None = None
-        for _ in range(MOST_REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             try:
-                return await self._ask_at(address, asked)
+                return await self._ask_at(address, call_request)
             except wire.NotLeaderError as error:
                 last = error
                 if error.use is None or error.use == address:
@@ -334,7 +341,7 @@
         raise last
 
     async def _ask_at(
-        self, address: str, asked: placement.PlaceRequest
+        self, address: str, call_request: placement.PlaceRequest
     ) -> placement.PlaceReply:
         """Ask one replica; abandon the call if the leader changes.
 
@@ -343,7 +350,10 @@
         """
         call = asyncio.ensure_future(
             self._transport.call(
-                address, placement.PLACE, asked, asked.patience_s + SLACK_S
+                address,
+                placement.PLACE,
+                call_request,
+                call_request.patience_s + ASK_MARGIN_S,
             )
         )
         moved = asyncio.ensure_future(self._session.leader.moved.wait())
@@ -358,7 +368,7 @@
             call.cancel()
             moved.cancel()
 
-    def _took(
+    def _register_use(
         self, request: placement.PlaceRequest, reply: placement.PlaceReply
     ) -> placement.PlaceReply:
         self._use_by_request[request.request] = control.Use(
@@ -369,23 +379,23 @@
             request.prompt_tokens + request.output_tokens,
         )
         key = (request.pool, request.model, request.adapter)
-        self._remembered[key] = _Remembered(reply, self._clock.now())
-        self._remembered.move_to_end(key)
-        while len(self._remembered) > REMEMBERED:
-            self._remembered.popitem(last=False)
+        self._cache[key] = _CachedPlacement(reply, self._clock.now())
+        self._cache.move_to_end(key)
+        while len(self._cache) > MAX_CACHED:
+            self._cache.popitem(last=False)
         return reply
 
-    def _recall(
+    def _cached_placement(
         self, request: placement.PlaceRequest
     ) -> placement.PlaceReply | None:
         """Return a cached placement that is probably still valid."""
         key = (request.pool, request.model, request.adapter)
-        found = self._remembered.get(key)
+        found = self._cache.get(key)
         if found is None or found.reply.target in request.avoid:
             return None
         age_s = self._clock.now() - found.at
         info = self._session.digest.target_by_id.get(found.reply.target)
-        if age_s > REMEMBERED_S or info is None:
+        if age_s > CACHE_TTL_S or info is None:
             return None
         if not self._session.takes_work(info):
             return None
@@ -415,11 +425,11 @@
         """Release the placement of a request that no longer runs."""
         use = self._use_by_request.pop(request, None)
         if use is not None and outcome is placement.UseOutcome.ABSENT:
-            for key in list(self._remembered):
+            for key in list(self._cache):
                 if key[1:] == (use.model, use.adapter):
-                    del self._remembered[key]
+                    del self._cache[key]
             if self._survey is not None:
-                self._survey.drop(target)
+                self._survey.discard(target)
         self._ended.append(placement.EndedUse(request, target, outcome))
         self._wake.set()
 
@@ -427,10 +437,10 @@
         """Send releases in batches; heartbeats make up for a lost batch."""
         while True:
             await self._wake.wait()
-            spacing_s = self._daemons() / MOST_RELEASES_PER_S
+            spacing_s = self._daemons() / MAX_RELEASES_PER_S
             await self._clock.sleep(max(RELEASE_SPACING_S, spacing_s))
             self._wake.clear()
-            message = self._pending()
+            message = self._take_releases()
             if message is None:
                 continue
             try:
@@ -441,4 +451,4 @@
                     RELEASE_TIMEOUT_S,
                 )
             except wire.ServingError as error:
-                self._put_back(error, message)
+                self._requeue_releases(error, message)
--- a/libs/routing/src/bergamotsail/routing/_service_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_service_choice.py
@@ -9,10 +9,10 @@
 from bergamotsail import wire
 
 WINDOW_S = 10.0
-FAULT_HALF_LIFE_S = 4.0
-FAULT_WEIGHT = 3.0
+FAILURE_HALF_LIFE_S = 4.0
+FAILURE_WEIGHT = 3.0
 OTHER_DATACENTRE_WEIGHT = 1.5
-FEWEST_DAEMONS = 3
+MIN_DAEMONS = 3
 
 
 def candidates(
@@ -45,7 +45,7 @@
         self._running_by_target: collections.Counter[str] = (
             collections.Counter()
         )
-        self._faults = placement.AgedCounter(FAULT_HALF_LIFE_S)
+        self._failures = placement.AgedCounter(FAILURE_HALF_LIFE_S)
 
     def choose(
         self,
@@ -72,14 +72,14 @@
         if self._running_by_target[target] <= 0:
             del self._running_by_target[target]
         if failed:
-            self._faults.add(target, self._clock.now())
+            self._failures.add(target, self._clock.now())
 
     def _weight(self, info: control.TargetInfo) -> float:
-        far = info.datacentre != self._datacentre
+        remote = info.datacentre != self._datacentre
         return (
             self._running_by_target[info.id]
-            + FAULT_WEIGHT * self._faults.value(info.id, self._clock.now())
-            + (OTHER_DATACENTRE_WEIGHT if far else 0.0)
+            + FAILURE_WEIGHT * self._failures.value(info.id, self._clock.now())
+            + (OTHER_DATACENTRE_WEIGHT if remote else 0.0)
             + self._rng.random() / 10
         )
 
@@ -119,7 +119,7 @@
         """Take one resend from the budget; False if it is exhausted."""
         requests = len(self._recent(self._requests_by_pool, pool))
         repeats = self._recent(self._repeats_by_pool, pool)
-        part = self._slack / max(self._daemons(), FEWEST_DAEMONS)
+        part = self._slack / max(self._daemons(), MIN_DAEMONS)
         if len(repeats) + 1 > self._ratio * requests + part:
             return False
         repeats.append(self._clock.now())
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -32,11 +32,11 @@
 MAX_ATTEMPTS = 4
 RETRY_PAUSE_S = 0.1
 POLL_S = 0.1
-WAIT_FOR_OTHER_S = 3.0
-RECORD_FOR_S = 60.0
+REPLAY_WAIT_S = 3.0
+RECORD_TIMEOUT_S = 60.0
 MAX_RECORDED_BYTES = 64 * 1024
-FUTURE_MS = 300_000
-HOP_HEADERS = frozenset(
+MAX_CLOCK_SKEW_MS = 300_000
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -111,7 +111,7 @@
         self._running_by_target: collections.Counter[str] = (
             collections.Counter()
         )
-        self._recording: set[asyncio.Task] = set()
+        self._detached: set[asyncio.Task] = set()
 
     async def call(
         self, caller: _entry.Caller, call: ServiceCall
@@ -123,10 +123,10 @@
         """
         self._session.check_fresh()
         entry = self._resolve(caller, call.service)
-        once = call.non_idempotent or _marked(entry.value, call)
+        once = call.non_idempotent or _is_non_idempotent(entry.value, call)
         key_time_ms = self._check_key(call) if once else 0
         deadline = self._clock.now() + call.deadline_s
-        subject = _subject(caller, call, entry.value)
+        tracked = _tracked(caller, call, entry.value)
         entered = self._admission.enter(
             caller.member, catalogue.Kind.SERVICE, entry.id, call.deadline_s
         )
@@ -135,25 +135,25 @@
                 # A non-idempotent call is not cancelled when its caller goes
                 # away, so that its outcome is still recorded.
                 return await asyncio.shield(
-                    self._keep(
+                    self._run_detached(
                         self._call_once(
                             caller,
                             call,
                             entry.value,
                             key_time_ms,
                             deadline,
-                            subject,
+                            tracked,
                         )
                     )
                 )
-            return await self._call_freely(
-                caller, call, entry.value, deadline, subject
+            return await self._call_idempotent(
+                caller, call, entry.value, deadline, tracked
             )
 
     async def settled(self) -> None:
         """Wait until all non-idempotent calls have ended and are recorded."""
-        while self._recording:
-            await asyncio.wait(list(self._recording))
+        while self._detached:
+            await asyncio.wait(list(self._detached))
 
     def _resolve(self, caller: _entry.Caller, service: str) -> catalogue.Entry:
         entry = self._session.view.service_by_id.get(service)
@@ -177,7 +177,7 @@
                 "key for resends."
             )
         key_time_ms = _keys.key_time_ms(call.key)
-        if key_time_ms > self._wall_s() * 1000 + FUTURE_MS:
+        if key_time_ms > self._wall_s() * 1000 + MAX_CLOCK_SKEW_MS:
             raise wire.IdempotencyKeyError(
                 "The time in the Idempotency-Key is in the future. Check the "
                 "clock of the caller."
@@ -186,15 +186,15 @@
 
     # Idempotent calls
 
-    async def _call_freely(
+    async def _call_idempotent(
         self,
         caller: _entry.Caller,
         call: ServiceCall,
         service: catalogue.Service,
         deadline: float,
-        subject: _fatal.Subject,
+        tracked: _fatal.TrackedRequest,
     ) -> ServiceResult:
-        self._budgets.first_try(caller.member)
+        self._budgets.record_first_try(caller.member)
         tried: set[str] = set()
         number = 0
         may_have_run = False
@@ -204,7 +204,7 @@
                 target = self._choose(call, service, tried)
                 tried.add(target.id)
                 reply = await self._send(
-                    target, call, deadline, False, subject
+                    target, call, deadline, False, tracked
                 )
                 return ServiceResult(
                     reply.status, _end_to_end(reply.headers), reply.body
@@ -217,7 +217,7 @@
                     error.ran = wire.Ran.UNKNOWN
                 pause_s = RETRY_PAUSE_S * number
                 late = self._clock.now() + pause_s >= deadline
-                if number >= MAX_ATTEMPTS or late or not subject.may_go_on:
+                if number >= MAX_ATTEMPTS or late or not tracked.may_retry:
                     raise
                 if isinstance(error, wire.QuarantinedError):
                     raise
@@ -268,24 +268,26 @@
         call: ServiceCall,
         deadline: float,
         once: bool,
-        subject: _fatal.Subject,
+        tracked: _fatal.TrackedRequest,
     ) -> targets.ServiceReply:
         """Send to one target, unless the request is quarantined."""
-        self._guard.check(subject)
+        self._guard.check(tracked)
         left_s = deadline - self._clock.now()
-        async with self._guard.alone(subject, left_s):
-            self._guard.check(subject)
+        async with self._guard.exclusive(tracked, left_s):
+            self._guard.check(tracked)
             try:
                 reply = await self._send_to(target, call, deadline, once)
             except wire.PeerSilentError:
                 raise
             except wire.PeerLostError:
-                self._guard.lost(subject, target.id, self._start(target))
+                self._guard.lost(
+                    tracked, target.id, self._incarnation_name(target)
+                )
                 raise
-            self._guard.served(subject, target.id)
+            self._guard.served(tracked, target.id)
             return reply
 
-    def _start(self, target: control.TargetInfo) -> str:
+    def _incarnation_name(self, target: control.TargetInfo) -> str:
         """Return a name for the incarnation of a target just lost.
 
         If the instance list gives no start time, each loss is taken as that
@@ -326,7 +328,7 @@
         service: catalogue.Service,
         key_time_ms: int,
         deadline: float,
-        subject: _fatal.Subject,
+        tracked: _fatal.TrackedRequest,
     ) -> ServiceResult:
         claim = catalogue.Claim(
             caller.member,
@@ -338,7 +340,7 @@
         reply = await self._claim(claim, deadline)
         if reply.state is State.WON:
             return await self._run_claimed(
-                claim, call, service, deadline, subject
+                claim, call, service, deadline, tracked
             )
         return await self._replay(claim, reply, deadline)
 
@@ -360,7 +362,7 @@
                 return reply
             except wire.ServingError as error:
                 if self._clock.now() + RETRY_PAUSE_S >= deadline:
-                    self._give_up(claim)
+                    self._record_not_run(claim)
                     raise wire.DeadlineError(
                         "The idempotency key could not be claimed in time "
                         f"({error.code}). The call was not sent.",
@@ -368,7 +370,7 @@
                     ) from error
                 await self._clock.sleep(RETRY_PAUSE_S)
 
-    def _give_up(self, claim: catalogue.Claim) -> None:
+    def _record_not_run(self, claim: catalogue.Claim) -> None:
         """Record as not run a call whose claim may still be committed."""
         self._record_later(
             catalogue.Record(
@@ -382,14 +384,14 @@
         call: ServiceCall,
         service: catalogue.Service,
         deadline: float,
-        subject: _fatal.Subject,
+        tracked: _fatal.TrackedRequest,
     ) -> ServiceResult:
         state = State.UNKNOWN
         outcome = None
         try:
             await self._steps.reach(wire.Step.CLAIM, wire.Phase.AFTER)
-            reply = await self._send_once(call, service, deadline, subject)
-            outcome = _outcome(reply)
+            reply = await self._send_once(call, service, deadline, tracked)
+            outcome = _outcome_to_record(reply)
             state = State.DONE
         except wire.PeerLostError as error:
             raise wire.UnknownOutcomeError(
@@ -417,7 +419,7 @@
         call: ServiceCall,
         service: catalogue.Service,
         deadline: float,
-        subject: _fatal.Subject,
+        tracked: _fatal.TrackedRequest,
     ) -> targets.ServiceReply:
         """Try targets in turn until one may have received the call."""
         tried: set[str] = set()
@@ -428,7 +430,7 @@
             tried.add(target.id)
             await self._steps.reach(wire.Step.SEND, wire.Phase.BEFORE)
             try:
-                reply = await self._send(target, call, deadline, True, subject)
+                reply = await self._send(target, call, deadline, True, tracked)
             except wire.NotSentError:
                 if is_last or self._clock.now() >= deadline:
                     raise
@@ -437,24 +439,24 @@
             return reply
 
     def _record_later(self, record: catalogue.Record) -> asyncio.Task:
-        return self._keep(self._record(record))
+        return self._run_detached(self._record(record))
 
-    def _keep(self, work: collections.abc.Coroutine) -> asyncio.Task:
+    def _run_detached(self, work: collections.abc.Coroutine) -> asyncio.Task:
         """Run work to its end even if the caller goes away."""
         task = asyncio.create_task(work)
-        self._recording.add(task)
-        task.add_done_callback(self._forget)
+        self._detached.add(task)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _forget(self, task: asyncio.Task) -> None:
-        self._recording.discard(task)
+    def _on_task_done(self, task: asyncio.Task) -> None:
+        self._detached.discard(task)
         if not task.cancelled():
             # Mark the exception as retrieved, since the caller may be gone.
             task.exception()
 
     async def _record(self, record: catalogue.Record) -> None:
         command = catalogue.Command(record=record)
-        give_up_at = self._clock.now() + RECORD_FOR_S
+        give_up_at = self._clock.now() + RECORD_TIMEOUT_S
         await self._steps.reach(wire.Step.RECORD, wire.Phase.BEFORE)
         while self._clock.now() < give_up_at:
             with contextlib.suppress(wire.ServingError):
@@ -473,7 +475,7 @@
 
         While that attempt still runs, polls for its outcome for a while.
         """
-        wait_until = min(deadline, self._clock.now() + WAIT_FOR_OTHER_S)
+        wait_until = min(deadline, self._clock.now() + REPLAY_WAIT_S)
         while reply.state is State.HELD and self._clock.now() < wait_until:
             await self._clock.sleep(POLL_S)
             find = control.FindClaim(claim.member, claim.key)
@@ -485,11 +487,11 @@
         return _replayed(reply)
 
 
-def _subject(
+def _tracked(
     caller: _entry.Caller, call: ServiceCall, service: catalogue.Service
-) -> _fatal.Subject:
+) -> _fatal.TrackedRequest:
     """Return the tracking state of a call; its key is not part of it."""
-    return _fatal.Subject(
+    return _fatal.TrackedRequest(
         call.request,
         caller.member,
         service.pool,
@@ -534,7 +536,7 @@
     )
 
 
-def _marked(service: catalogue.Service, call: ServiceCall) -> bool:
+def _is_non_idempotent(service: catalogue.Service, call: ServiceCall) -> bool:
     """Whether the catalogue marks this call as non-idempotent."""
     return any(
         call.method == marked.method
@@ -553,11 +555,11 @@
     return {
         name: value
         for name, value in headers.items()
-        if name.lower() not in HOP_HEADERS
+        if name.lower() not in HOP_BY_HOP_HEADERS
     }
 
 
-def _outcome(reply: targets.ServiceReply) -> catalogue.Outcome:
+def _outcome_to_record(reply: targets.ServiceReply) -> catalogue.Outcome:
     """Return the outcome to record; an oversized body is omitted."""
     body = reply.body
     headers = _end_to_end(reply.headers)
--- a/libs/routing/src/bergamotsail/routing/_silence.py
+++ b/libs/routing/src/bergamotsail/routing/_silence.py
@@ -7,10 +7,10 @@
 
 # An election takes 0.5 to 0.9 s while a majority is up, and each of 80
 # daemons hears the leader every 0.53 s, so shorter gaps usually end unaided.
-LONG_S = 1.5
+LEADER_LOST_S = 1.5
 # A refused caller retries once or twice; an earlier retry would be wasted.
-LEAST_RETRY_S = 1.0
-MOST_RETRY_S = 5.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 5.0
 
 
 def outlasts(silent_s: float, left_s: float) -> bool:
@@ -20,9 +20,9 @@
     0.5 s more it has less time left than the silence has lasted, and it is
     refused.
     """
-    return silent_s >= LONG_S and left_s < silent_s
+    return silent_s >= LEADER_LOST_S and left_s < silent_s
 
 
 def retry_after_s(silent_s: float) -> float:
     """Return the delay after which a refused caller should retry."""
-    return min(max(silent_s, LEAST_RETRY_S), MOST_RETRY_S)
+    return min(max(silent_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
--- a/libs/routing/src/bergamotsail/routing/_survey.py
+++ b/libs/routing/src/bergamotsail/routing/_survey.py
@@ -13,12 +13,12 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-AskEngine = collections.abc.Callable[
+GetReport = collections.abc.Callable[
     [control.TargetInfo],
     collections.abc.Awaitable[targets.AdapterReport],
 ]
 # A daemon has little processor time, so it reads few reports at a time.
-MOST_AT_ONCE = 8
+MAX_CONCURRENT_REPORTS = 8
 
 
 class Survey:
@@ -35,7 +35,7 @@
             target.
     """
 
-    def __init__(self, ask: AskEngine, rng: random.Random) -> None:
+    def __init__(self, ask: GetReport, rng: random.Random) -> None:
         self._ask = ask
         self._rng = rng
         self._asked: set[str] = set()
@@ -44,18 +44,18 @@
             collections.Counter()
         )
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Discard all reports; they are valid for one loss of the leader."""
         if self._asked:
             self._asked.clear()
             self._report_by_target.clear()
             self._placed_by_target.clear()
 
-    def drop(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Discard the report of a target that lacked what it reported."""
         self._report_by_target.pop(target, None)
 
-    def due(
+    def unasked(
         self,
         pool: str,
         known: collections.abc.Iterable[control.TargetInfo],
@@ -71,23 +71,25 @@
             if info.pool == pool and info.id not in self._asked
         ]
 
-    async def look(self, due: list[control.TargetInfo]) -> None:
+    async def collect(self, infos: list[control.TargetInfo]) -> None:
         """Collect reports from these targets, a few at a time."""
-        self._asked.update(info.id for info in due)
-        self._rng.shuffle(due)
-        turns = asyncio.Semaphore(MOST_AT_ONCE)
-        await asyncio.gather(*(self._look_at(info, turns) for info in due))
+        self._asked.update(info.id for info in infos)
+        self._rng.shuffle(infos)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
+        await asyncio.gather(
+            *(self._collect_report(info, semaphore) for info in infos)
+        )
         observe.log_event(
             "route",
             "survey",
-            asked=len(due),
+            asked=len(infos),
             told=len(self._report_by_target),
         )
 
-    async def _look_at(
-        self, info: control.TargetInfo, turns: asyncio.Semaphore
+    async def _collect_report(
+        self, info: control.TargetInfo, semaphore: asyncio.Semaphore
     ) -> None:
-        async with turns:
+        async with semaphore:
             try:
                 report = await self._ask(info)
             except wire.ServingError as error:
@@ -116,7 +118,7 @@
             info = known.get(target)
             if info is None or target in request.avoid:
                 continue
-            holds, version = _held(request, report, named)
+            holds, version = _find_held(request, report, named)
             if not holds:
                 continue
             load = (
@@ -136,7 +138,7 @@
         )
 
 
-def _held(
+def _find_held(
     request: placement.PlaceRequest,
     report: targets.AdapterReport,
     named: int | None,
--- a/libs/routing/src/bergamotsail/routing/_where.py
+++ b/libs/routing/src/bergamotsail/routing/_where.py
@@ -6,7 +6,7 @@
 from bergamotsail import control
 from bergamotsail.routing import _choice
 
-MOST_ADDRESSES = 3
+MAX_ADDRESSES = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
         addresses = dict.fromkeys(
             daemons[boot] for boot in order if boot in daemons
         )
-        return WhereAnswer(tuple(addresses)[:MOST_ADDRESSES], self.keep_s)
+        return WhereAnswer(tuple(addresses)[:MAX_ADDRESSES], self.keep_s)
 
     def _owners_of(self, adapter: str) -> collections.abc.Iterator[str]:
         """Yield owners of targets that hold the adapter, by rising load."""
