--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -150,7 +150,7 @@
     def lost(
         self, tracked: TrackedRequest, target: str, start: str | None = None
     ) -> None:
-        """Record that a target was lost while running a request.
+        """Record that a target may have been lost while running a request.
 
         The loss of a target that is leaving is expected and not reported.
 
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -647,7 +647,7 @@
             raise _retryable(error, wire.Ran.NOT_RUN)
         if not reading.own or not reading.genuine:
             raise _InvalidAnswerError(
-                "The answer does not belong to this request."
+                "The answer is invalid or belongs to another request."
             )
         if head.status >= SERVER_ERROR and not attempt.answer.started:
             if attempt.route.repeatable and self._has_other_target(attempt):
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -371,7 +371,10 @@
                 await self._clock.sleep(RETRY_PAUSE_S)
 
     def _record_not_run(self, claim: catalogue.Claim) -> None:
-        """Record as not run a call whose claim may still be committed."""
+        """Record that a call has not run, in case its claim commits later.
+
+        This frees the key.
+        """
         self._record_later(
             catalogue.Record(
                 claim.member, claim.key, claim.attempt, State.NOT_RUN
