--- a/libs/placement/src/bergamotsail/placement/_place_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_place_policy.py
@@ -1,7 +1,7 @@
-"""Which engine a request should run at, and where to load its adapter.
+"""Cost functions that rank engines for running a request or loading for it.
 
-Costs are seconds until the first token, so that waiting, reading a prompt
-and loading an adapter can be weighed against each other.
+All costs are in seconds until the first token, so that queueing, prefill and
+adapter loads are comparable.
 """
 
 import abc
@@ -11,20 +11,21 @@
 
 from bergamotsail.placement import _holding
 
-# How much a wait at a full home counts against it.
+# Factor by which the time already waited raises the cost of a full engine.
 WAITING_WEIGHT = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wish:
-    """What is known of a waiting request.
+    """The requirements of a request to be placed.
 
     Args:
-        tokens: to be read and generated at most.
-        avoid: targets that have refused or failed it.
-        waited_s: how long it has waited for an engine.
-        uses: how often its adapter was used lately.
-        priority: 0 for the most urgent.
+        tokens: prompt tokens plus the maximum of generated tokens.
+        avoid: targets that have refused or failed the request.
+        parts: prefixes of the prompt with their token counts, in order.
+        waited_s: how long the request has waited for an engine.
+        uses: decayed count of recent uses of its adapter.
+        priority: 0 is the most urgent.
     """
 
     pool: str
@@ -40,41 +41,47 @@
 
 
 class PlacePolicy(abc.ABC):
-    """Weighs engines for a request."""
+    """Computes the cost of serving a request on an engine."""
 
     @abc.abstractmethod
     def busy_cost_s(self, holding: _holding.Holding, now: float) -> float:
-        """Return how busy an engine is, to all requests alike."""
+        """Return the load of an engine, independent of any request."""
 
     @abc.abstractmethod
     def run_cost_s(
         self, holding: _holding.Holding, wish: Wish, now: float
     ) -> float:
-        """Return the cost of running where the adapter is resident."""
+        """Return the cost of running on an engine that holds the adapter."""
 
     @abc.abstractmethod
     def load_cost_s(
         self, holding: _holding.Holding, wish: Wish, now: float, room: bool
     ) -> float:
-        """Return the cost of loading the adapter first; *room* is there."""
+        """Return the cost of loading the adapter there and then running.
+
+        Args:
+            room: whether the load can start now.
+        """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomePolicy(PlacePolicy):
-    """Keeps an adapter where a copy of it is already at hand.
+    """Prefers engines that keep a local copy of the adapter.
 
-    A load from a copy takes a tenth of the time and costs nothing, and
-    shared parts of prompts are cached there. So a request rather waits a
-    little for a slot at home than is fetched to another engine.
+    A load from a local copy takes a tenth of the time of a fetch from the
+    store and costs nothing, and shared prompt prefixes are cached there. So a
+    short wait for a slot on such an engine is cheaper than a fetch to another
+    one.
 
     Args:
-        copy_load_s: a load from a copy, with the orders around it.
-        store_load_s: a load from the store.
-        store_price_s: what a fetch from the store is worth in waiting.
-        no_room_s: how long a slot takes to come free, about.
-        other_datacentre_s: penalty for bytes between data centres.
+        copy_load_s: duration of a load from a local copy, including the
+            round trips of its orders.
+        store_load_s: duration of a load from the store.
+        store_price_s: cost of a fetch from the store, as seconds of waiting.
+        no_room_s: approximate time until a slot becomes free.
+        other_datacentre_s: penalty for traffic between data centres.
         fault_s: penalty for each recent failure.
-        home_rank_s: penalty for each engine that hashing prefers.
+        home_rank_s: penalty for each rank in the hash order of engines.
     """
 
     copy_load_s: float = 0.04
@@ -108,19 +115,20 @@
         if holding.has_copy(wish.name):
             cost_s += self.copy_load_s
         else:
-            # A fetch serves all who will use the copy.
+            # The cost of a fetch is shared by the requests that use it.
             price_s = self.store_price_s / (1.0 + wish.uses)
             price_s = max(0.0, price_s - wish.waited_s)
             cost_s += self.store_load_s + price_s
             cost_s += self.home_rank_s * _rank(holding.info.id, wish.name)
         if room:
             return cost_s
-        # Who has waited long for room at home goes elsewhere.
+        # The longer a request has waited, the more a full engine costs, so
+        # that it is eventually loaded elsewhere.
         waited_s = wish.waited_s * WAITING_WEIGHT
         return cost_s + self.no_room_s + waited_s
 
 
 def _rank(target: str, name: _holding.AdapterName) -> float:
-    """Return where hashing ranks a target for an adapter, 0 to 10."""
+    """Return the hash rank of a target for an adapter, from 0 up to 10."""
     text = f"{name[0]}/{name[1]}@{target}"
     return (mmh3.hash(text, signed=False) % 1000) / 100
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -1,8 +1,9 @@
-"""The holder of the orders to all engines: who runs where, what is loaded.
+"""The scheduler that places requests on engines and orders adapter loads.
 
-It runs beside the leader of the log, and its fencing number is the
-leader's term. Entries ask it for a place and send the request straight to
-the engine; the engine itself refuses what it does not hold.
+It is active on the leader of the replicated log and derives its fencing
+numbers from the leader's term. Entries ask it for a target and send the
+request directly to that engine; the engine refuses a request for an adapter
+that it does not hold.
 """
 
 import abc
@@ -31,25 +32,31 @@
 from bergamotsail import wire
 
 TICK_S = 0.05
-# New requests are the first to be refused by a process that is behind, then
-# what heartbeats heal. Callers come back with a pause.
+# Event loop lag beyond which a call is shed. Place requests are shed first,
+# since callers retry with a delay; a lost release is repaired by the next
+# heartbeat.
 PLACE_SHED_S = 0.12
 RELEASE_SHED_S = 0.25
+# A grant that is missing from its daemon's heartbeat is kept for this long.
 USE_GRACE_S = 1.5
-# Every entry that was in touch has found a new holder by then, about.
+# Within about this time of a new term, every connected entry has found the
+# new leader and reported its running requests.
 USES_TOLD_S = 1.0
 NOTE_S = 0.5
 TELL_S = 1.0
-# Uses of an adapter count half after so long.
+# Half-life of the use counts of adapters.
 USES_HALF_LIFE_S = 10.0
 PUMP_S = 0.002
-# Decisions in one turn of the loop, so that the lead's own calls get theirs.
+# Time limit of one scheduling pass, so that the calls that keep the
+# leadership are served in between.
 PUMP_SLICE_S = 0.015
-# More can't be served in the time that any of them has: the leader grants
-# some 250 places a second. The others come back.
+# The leader grants about 250 requests a second, so more waiting requests
+# can't be served before their deadlines. Further callers are told to retry.
 MOST_WAITERS = 400
-# A decision waits so many times as long as the last one took.
+# Minimum delay before the next scheduling pass, as a multiple of the duration
+# of the last one.
 PUMP_SPACING = 3.0
+# How long requests may still start on a version after a newer one is named.
 OLD_VERSION_S = 1.0
 RETRY_AFTER_S = 0.5
 
@@ -58,30 +65,30 @@
 
 
 class CopyNotes(abc.ABC):
-    """Remembers, beyond this process, where copies of adapters are."""
+    """Persists outside this process which engines have copies of adapters."""
 
     @abc.abstractmethod
     def names(self, target: str) -> tuple[str, ...]:
-        """Return what is remembered of a target, the latest last."""
+        """Return the copies recorded for a target, the newest last."""
 
     @abc.abstractmethod
     async def note(self, note: catalogue.NoteCopies) -> None:
-        """Remember more.
+        """Record added copies and removed targets.
 
         Raises:
-            ServingError: it may be forgotten.
+            ServingError: the note may not have been recorded.
         """
 
 
 class Placer(control.UseKeeper):
-    """Grants places and orders loads; an async context manager.
+    """Places requests on engines and orders loads; an async context manager.
 
     Args:
-        view: gives the catalogue as it stands.
-        make_engine: gives the engine of a listed target.
-        notes: where copies are remembered for the next holder.
-        holder_notes: where it is remembered who gave orders.
-        tenure: when this process may give orders.
+        view: returns the current catalogue.
+        make_engine: returns a client of the engine of a listed target.
+        notes: where copies are recorded for the next leader.
+        holder_notes: where the processes that gave orders are recorded.
+        tenure: decides when this process may give orders.
     """
 
     def __init__(
@@ -120,7 +127,7 @@
         self._term_at = 0.0
         self._orders_by_target: dict[str, _engine_orders.EngineOrders] = {}
         self._holding_by_target: dict[str, _holding.Holding] = {}
-        # Where each daemon's requests run, by daemon and request.
+        # The target of each running request, by daemon boot and request.
         self._target_by_request: dict[str, dict[str, str]] = {}
         self._decider = _decisions.Decider(
             self._holding_by_target, policy, settings, self._is_current
@@ -133,12 +140,12 @@
         self._new_start: collections.abc.Callable[[str, int], None] | None = (
             None
         )
-        # Starts of each target that were ordered in this term.
+        # How many incarnations of each engine this term has managed so far.
         self._starts_by_name: collections.Counter[str] = collections.Counter()
         self._pace_by_pool: dict[str, _pace.PoolPace] = {}
         self._pump_due: asyncio.TimerHandle | None = None
         self._pump_took_s = 0.0
-        # Adapters that found no room when they were last decided on.
+        # Adapters for which the last decision found no free slot.
         self._lacking: set[_holding.AdapterName] = set()
         self._names_left: collections.deque[_holding.AdapterName] = (
             collections.deque()
@@ -154,7 +161,7 @@
         self._forget_all()
 
     def serve(self, server: wire.PeerServer) -> None:
-        """Answer the calls of entries."""
+        """Register the handlers of the calls from entries."""
         server.serve(_place_messages.PLACE, self.on_place, PLACE_SHED_S)
         server.serve(_place_messages.RELEASE, self.on_release, RELEASE_SHED_S)
 
@@ -163,14 +170,14 @@
     async def on_place(
         self, request: _place_messages.PlaceRequest
     ) -> _place_messages.PlaceReply:
-        """Find a place, waiting for a load where that is needed."""
+        """Return a target for a request, waiting for a load if needed."""
         self._check_leading()
         if request.releases is not None:
             self._take_releases(request.releases)
             self._pump_soon()
         if len(self._waiters) >= MOST_WAITERS:
             raise wire.BehindError(
-                "Too many requests wait for engines. Ask again.",
+                "Too many requests are waiting for an engine. Try again.",
                 retry_after_s=RETRY_AFTER_S,
             )
         done = asyncio.get_running_loop().create_future()
@@ -189,10 +196,11 @@
                 self._waiters.remove(waiter)
 
     def _check_tenure(self, waiter: _waiting.Waiter) -> None:
-        """Refuse at once who needs a load that can't be ordered in time.
+        """Refuse a request at once if its load can't be ordered in time.
 
-        Before all engines are settled nobody knows what is resident. As a
-        rule orders may leave, so that is looked at before the engines.
+        While the state of an engine is unknown, the adapter may be resident
+        there, so the request is not refused. Orders are usually allowed, so
+        that is checked first and the engines are rarely scanned.
         """
         wait_s = self._rights.wait_s()
         if wait_s <= _hope_s(waiter.request):
@@ -203,15 +211,20 @@
         self._metrics.count("placements_refused", reason="no_orders_yet")
         self._log_refusal(waiter)
         raise wire.NoPlaceError(
-            "No adapter can be loaded yet, as another instance gave the "
-            "orders a moment ago. Come back later.",
+            "No adapter can be loaded yet because another instance was "
+            "ordering loads a moment ago. Try again later.",
             retry_after_s=wait_s,
         )
 
     async def _wait(
         self, waiter: _waiting.Waiter
     ) -> _place_messages.PlaceReply:
-        """Wait for a grant as long as there is hope and patience."""
+        """Wait for a grant.
+
+        Raises:
+            NoPlaceError: ``hope_s`` passed with no load in progress.
+            StillWaitingError: ``patience_s`` passed.
+        """
         request = waiter.request
         hope_s = _hope_s(request)
         with contextlib.suppress(TimeoutError):
@@ -221,26 +234,29 @@
             self._metrics.count("placements_refused", reason="no_place")
             self._log_refusal(waiter)
             raise wire.NoPlaceError(
-                "No engine can take this request in time. Come back later.",
+                "No engine can take this request in time. Try again later.",
                 retry_after_s=RETRY_AFTER_S,
             )
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(request.patience_s - hope_s):
                 return await waiter.done
         raise wire.StillWaitingError(
-            "No engine took this request so far. Ask again.",
+            "No engine has become available for this request yet. Try again.",
             retry_after_s=RETRY_AFTER_S,
         )
 
     def _on_its_way(self, waiter: _waiting.Waiter) -> bool:
-        """Whether an engine is loading what a waiter needs."""
+        """Whether a request is granted or a usable engine has its adapter.
+
+        The adapter may be resident, loading or in an unconfirmed state.
+        """
         return waiter.done.done() or any(
             waiter.name in holding.slot_by_name
             for holding in self._usable(waiter)
         )
 
     def _log_wait(self, waiter: _waiting.Waiter) -> None:
-        """Log that a request waits."""
+        """Log that a request is waiting for a grant."""
         observe.log_event(
             "place",
             "wait",
@@ -251,7 +267,7 @@
         )
 
     def _log_refusal(self, waiter: _waiting.Waiter) -> None:
-        """Log that a request is refused, and what stood then."""
+        """Log a refusal with the state of the engines at that time."""
         where = {
             target: str(holding.slot_by_name[waiter.name].state)
             for target, holding in self._holding_by_target.items()
@@ -276,7 +292,7 @@
     async def on_release(
         self, request: _place_messages.ReleaseRequest
     ) -> _place_messages.Released:
-        """Count requests out, and learn from how they ended."""
+        """Release ended requests and record how they ended."""
         self._check_leading()
         self._take_releases(request)
         self._pump_soon()
@@ -308,7 +324,7 @@
                 orders.holding.slot_by_name.pop(grant.name, None)
             orders.settle()
 
-    # What the leader's side of the sessions tells.
+    # Callbacks from the session coordinator.
 
     def take_uses(
         self, boot: str, uses: collections.abc.Sequence[control.Use]
@@ -339,17 +355,18 @@
             self._move_request(boot, use.request, use.target, now)
 
     def _requests_of(self, boot: str) -> dict[str, str]:
-        """Return where a daemon's requests run."""
+        """Return a daemon's running requests and their targets."""
         return self._target_by_request.setdefault(boot, {})
 
     def _move_request(
         self, boot: str, request: str, target: str, now: float
     ) -> None:
-        """Note where a request runs now, and that it runs nowhere else.
+        """Record the target of a request and release its previous one.
 
-        It is asked for again when the reply was lost. Nobody gives the
-        first place back, so it would count for the rest of the term, its
-        prompt as unread: the engine's believed backlog grows with time.
+        An entry repeats its call when the reply was lost, and never releases
+        the first grant. That grant would otherwise count for the rest of the
+        term, with its prompt as unread, and the estimated backlog of the
+        engine would grow without bound.
         """
         before = self._requests_of(boot).get(request)
         if before is not None and before != target:
@@ -359,7 +376,7 @@
     def _release(
         self, boot: str, request: str, target: str, now: float
     ) -> _holding.Grant | None:
-        """Count a request out at its engine."""
+        """Release a request's grant and return it, if there was one."""
         self._requests_of(boot).pop(request, None)
         holding = self._holding_by_target.get(target)
         if holding is None:
@@ -481,7 +498,7 @@
                 self._fail_waiters()
 
     def _tell(self) -> None:
-        """Log what this holder believes of all engines."""
+        """Log the believed state of all engines."""
         observe.log_event(
             "place",
             "state",
@@ -504,7 +521,7 @@
         )
 
     async def _note(self) -> None:
-        """Remember new copies for whoever holds the orders next."""
+        """Persist new copies and removed targets for the next leader."""
         while True:
             await self._clock.sleep(NOTE_S)
             if self._notes is None or not self._leadership.holds():
@@ -524,7 +541,7 @@
                 yield catalogue.Copies(target, names)
 
     def _usable(self, waiter: _waiting.Waiter) -> list[_holding.Holding]:
-        """Return the engines that could take a request."""
+        """Return the engines that could run a request."""
         wish = self._wish(waiter, self._clock.now())
         return [
             holding
@@ -532,21 +549,21 @@
             if holding.can_take(wish)
         ]
 
-    # Decisions carried out.
+    # Scheduling.
 
     def _pump_soon(self) -> None:
-        """Decide soon, at a bounded part of the processor's time."""
+        """Schedule a pass, delayed so that passes take a bounded CPU share."""
         if self._pump_due is None:
             delay_s = max(PUMP_S, PUMP_SPACING * self._pump_took_s)
             loop = asyncio.get_running_loop()
             self._pump_due = loop.call_later(delay_s, self._pump)
 
     def _pump(self) -> None:
-        """Grant what can be granted and start the loads that are due.
+        """Run one scheduling pass: grant requests and start loads.
 
-        After a bounded time the rest is left to the next call: after a
-        take-over hundreds wait, and to decide for all at once took so long
-        that the lead was lost with its lease.
+        A pass is limited in time and leaves the rest to the next one. After
+        a leader change hundreds of requests wait; deciding for all of them
+        at once took so long that the leader's lease expired.
         """
         self._pump_due = None
         if self._leadership.holds():
@@ -554,7 +571,7 @@
                 self._decide_slice()
 
     def _decide_slice(self) -> None:
-        """Decide for those who wait, the first in rank first."""
+        """Decide for waiting requests in rank order, up to the time limit."""
         now = self._clock.now()
         if not self._names_left:
             self._names_left.extend(self._ranked_names(now))
@@ -577,7 +594,7 @@
     def _ranked_names(
         self, now: float
     ) -> collections.abc.Iterable[_holding.AdapterName]:
-        """Return the adapters that are waited for, the first in rank first."""
+        """Return the adapters of waiting requests, highest rank first."""
         pace_by_pool = {
             pool: paces.pace() for pool, paces in self._pace_by_pool.items()
         }
@@ -595,16 +612,20 @@
         now: float,
         may_load: bool,
     ) -> None:
-        """Grant those who wait for one adapter, and load it if need be."""
+        """Grant the requests waiting for one adapter, or start its load.
+
+        Stops at the first request that can't be granted.
+        """
         for waiter in waiters:
             if not waiter.done.done():
                 if not self._serve_one(waiter, wanted, now, may_load):
                     return
 
     def _serve_at_once(self, waiter: _waiting.Waiter, now: float) -> bool:
-        """Grant a place where one is free; False if the request waits.
+        """Grant a new request if it can run now; False if it has to wait.
 
-        While others lack room, loads go by rank and not by arrival.
+        While other adapters lack a free slot, no load is started here, so
+        that loads start in order of rank rather than of arrival.
         """
         wanted = {other.name for other in self._waiters}
         decision = self._decider.decide(
@@ -626,7 +647,7 @@
         now: float,
         may_load: bool,
     ) -> bool:
-        """Carry out what is decided for a request; False if it waits."""
+        """Decide for a request and act on it; False if it has to wait."""
         wish = self._wish(waiter, now)
         decision = self._decider.decide(wish, wanted, now, may_load)
         if isinstance(decision, _decisions.Run):
@@ -710,7 +731,7 @@
     def _too_old(
         self, name: _holding.AdapterName, slot: _holding.Slot, now: float
     ) -> bool:
-        """Whether no request may begin on a slot's version any more."""
+        """Whether a slot's version is too old to start requests on."""
         wanted = self._wanted_version(name)
         if wanted is None or (slot.version or 0) >= wanted:
             return False
@@ -721,7 +742,7 @@
         return now - named_at > OLD_VERSION_S
 
     def _refresh_versions(self, now: float) -> None:
-        """Replace resident versions that are no longer the newest."""
+        """Load the newest version into idle slots that hold an older one."""
         if not self._rights.may_order():
             return
         for orders in self._orders_by_target.values():
@@ -740,6 +761,6 @@
 
 
 def _hope_s(request: _place_messages.PlaceRequest) -> float:
-    """Return how long a request may wait with no load on its way."""
+    """Return how long a request may wait while no load is in progress."""
     hope_s = min(request.hope_s - request.waited_s, request.patience_s)
     return max(hope_s, 0.0)
--- a/libs/placement/src/bergamotsail/placement/_waiting.py
+++ b/libs/placement/src/bergamotsail/placement/_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place, and who of them goes first."""
+"""Requests that wait for a grant, and the order in which they are served."""
 
 import asyncio
 import dataclasses
@@ -8,16 +8,17 @@
 from bergamotsail.placement import _place_messages
 from bergamotsail.placement import _place_policy
 
-# What a load and the way to the engine take, about.
+# Approximate duration of a load and the request's transfer to the engine.
 LOAD_S = 0.28
 
 
 @dataclasses.dataclass(slots=True)
 class Waiter:
-    """A request that waits for a place.
+    """A request that waits for a grant.
 
     Args:
-        done: set to the reply, or to the refusal.
+        arrived_at: when the request first asked for a target.
+        done: resolved with the reply or with the refusal as an exception.
     """
 
     request: _place_messages.PlaceRequest
@@ -26,19 +27,20 @@
 
     @property
     def name(self) -> _holding.AdapterName:
-        """The adapter that it waits for."""
+        """Base model and adapter that the request needs."""
         return (self.request.model, self.request.adapter)
 
     @property
     def tokens(self) -> int:
-        """Tokens to be read and generated at most."""
+        """Prompt tokens plus the maximum of generated tokens."""
         return self.request.prompt_tokens + self.request.output_tokens
 
     def rank(self, pace: _pace.Pace, now: float) -> tuple[bool, int, float]:
-        """Order waiters: first those who can still be on time.
+        """Return the sort key: requests that can still be on time come first.
 
-        When places are short, serving in order of arrival makes everyone
-        late in the end. A long prompt must begin sooner.
+        Under overload, first-come-first-served order eventually makes every
+        request late. Ties are broken by priority, then by the latest start
+        time that meets the objective, which is earlier for long prompts.
         """
         request = self.request
         needs_s = LOAD_S + pace.read_s(request.prompt_tokens)
@@ -48,7 +50,7 @@
         return begins_by < now, request.priority, begins_by
 
     def wish(self, uses: float, now: float) -> _place_policy.Wish:
-        """Return what the decisions need to know of it."""
+        """Return the requirements of the request for a decision."""
         return _place_policy.Wish(
             self.request.pool,
             self.name,
