--- a/libs/placement/src/bergamotsail/placement/_counter.py
+++ b/libs/placement/src/bergamotsail/placement/_counter.py
@@ -1,12 +1,13 @@
-"""Counts that fade, so that what was long ago is forgotten."""
+"""Event counts with exponential decay."""
 
 
 class AgedCounter:
-    """How often something happened to each key lately.
+    """Counts events by key, with exponential decay.
 
     Args:
-        half_life_s: after this long what happened counts half.
-        most: how many keys are kept; those that count least are dropped.
+        half_life_s: time after which an event counts half.
+        most: maximum number of keys. Above it, the half of the keys with the
+            lowest counts is dropped.
     """
 
     def __init__(self, half_life_s: float, most: int = 5_000) -> None:
@@ -15,13 +16,13 @@
         self._count_by_key: dict[str, tuple[float, float]] = {}
 
     def add(self, key: str, now: float, weight: float = 1.0) -> None:
-        """Count what happened, by its weight."""
+        """Count an event with a weight."""
         self._count_by_key[key] = (self.value(key, now) + weight, now)
         if len(self._count_by_key) > self._most:
             self._drop_half(now)
 
     def value(self, key: str, now: float) -> float:
-        """Return the faded count."""
+        """Return the decayed count of a key."""
         count, at = self._count_by_key.get(key, (0.0, now))
         return count * 0.5 ** ((now - at) / self._half_life_s)
 
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -1,8 +1,7 @@
-"""Where a request runs, what is loaded for it, what makes room.
+"""Decides where a request runs, what is loaded for it and what is evicted.
 
-Decisions only: they read what is believed of the engines and say what to
-do. Nothing here waits, sends or asks a clock, so every load can be played
-against it without a network.
+The decisions are computed from the engine records alone. Nothing here waits,
+sends or reads a clock, so any workload can be simulated without a network.
 """
 
 import collections.abc
@@ -14,35 +13,37 @@
 
 State = _holding.SlotState
 
-# What an engine takes in at once; ordered beyond, it refuses (the users'
-# protocol).
+# Concurrent loads that an engine accepts according to its protocol; it
+# refuses further ones.
 MOST_IN_TRANSIT = 4
-# A queue shorter than this is no reason for a further copy: it is twice what
-# a load from a copy takes, with the orders around it (0.05 s, p50).
+# Minimum cost of running on a resident engine before the adapter is loaded on
+# another one: twice the p50 of a load from a local copy with its orders
+# (0.05 s).
 SPREAD_COST_S = 0.1
-# A further copy must be better by so much; beliefs are no finer than this.
+# Minimum gain from loading the adapter on another engine; estimates are no
+# more precise than this.
 SPREAD_GAIN_S = 0.03
-# A load that is later than expected by so much is not waited for where the
-# adapter is resident elsewhere.
+# A load that is overdue by more than this is not waited for if the adapter is
+# resident elsewhere.
 LOAD_LATE_S = 0.3
-# Engines that are weighed for a load, beside those with a copy. With more,
-# a decision costs time in proportion and gains nothing: the least loaded
-# are alike.
+# Number of least loaded engines considered for a load, besides those with a
+# copy. The cost of a decision is proportional to it, and more engines gain
+# nothing since the least loaded ones are alike.
 MOST_WEIGHED = 10
-# The order of engines by load is that old at most.
+# Maximum age of the cached order of engines by load.
 ORDER_AGE_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Run there now."""
+    """Run the request on a target now."""
 
     target: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Load the adapter there, after *victim* left."""
+    """Load the adapter on a target, evicting *victim* first if not None."""
 
     target: str
     victim: _holding.AdapterName | None
@@ -50,10 +51,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Wait: for a load on its way, or for room.
+    """Wait for a load in progress or for a free slot.
 
     Args:
-        coming: whether a load of the adapter is on its way.
+        coming: whether a load of the adapter is in progress.
     """
 
     coming: bool
@@ -68,9 +69,9 @@
     """Decides for one request at a time.
 
     Args:
-        holding_by_target: all engines, as they are believed to be.
-        is_current: whether requests may begin on what a slot holds, as far
-            as versions go.
+        holding_by_target: the records of all engines, which may change
+            between decisions.
+        is_current: whether requests may start on the version in a slot.
     """
 
     def __init__(
@@ -98,8 +99,8 @@
         """Return what to do for a request.
 
         Args:
-            wanted: adapters that others wait for, which stay.
-            may_load: whether orders may be given at this moment.
+            wanted: adapters that other requests wait for; not evicted.
+            may_load: whether load orders are allowed now.
         """
         if not wish.name[1]:
             return self._run_anywhere(wish, now)
@@ -132,7 +133,7 @@
         return Run(there.info.id)
 
     def _run_anywhere(self, wish: Wish, now: float) -> Decision:
-        """Run the base model itself, which all engines hold."""
+        """Decide for a request to the base model, which needs no adapter."""
         best = min(
             (
                 (self._policy.run_cost_s(holding, wish, now), number, holding)
@@ -151,7 +152,11 @@
         now: float,
         cost_s: float,
     ) -> Decision | None:
-        """Return how a further copy answers sooner, None if none does."""
+        """Return a load or wait that beats *cost_s* by enough, else None.
+
+        While a load of the adapter that is not overdue is in progress, no
+        further one is started.
+        """
         limit_s = cost_s - SPREAD_GAIN_S
         loading = [
             (holding, slot)
@@ -175,7 +180,11 @@
         now: float,
         limit_s: float,
     ) -> Load | None:
-        """Return where a load is cheapest, None if that is no use now."""
+        """Return the cheapest load.
+
+        None if no engine qualifies, the cheapest one has no room now, or its
+        cost exceeds *limit_s*.
+        """
         best: tuple[float, int, Holding] | None = None
         best_room: tuple[_holding.AdapterName | None] | None = None
         for number, holding in enumerate(self._weighed(wish, now)):
@@ -194,7 +203,7 @@
     def _weighed(
         self, wish: Wish, now: float
     ) -> collections.abc.Iterator[Holding]:
-        """Yield the engines that are worth weighing for a load."""
+        """Yield the least loaded engines and those with a copy."""
         ordered = self._ordered(wish, now)
         near = ordered[:MOST_WEIGHED]
         yield from near
@@ -203,7 +212,11 @@
                 yield holding
 
     def _ordered(self, wish: Wish, now: float) -> list[Holding]:
-        """Return a pool's engines, the least loaded first, or nearly."""
+        """Return a pool's engines, the least loaded first.
+
+        The order may be ORDER_AGE_S old. A pool of at most MOST_WEIGHED
+        engines is not sorted.
+        """
         at, ordered = self._order_by_pool.get(wish.pool, (0.0, []))
         there = self._holding_by_target
         if ordered and now - at <= ORDER_AGE_S:
@@ -220,7 +233,7 @@
         return ordered
 
     def _load_of(self, holding: Holding, now: float) -> float:
-        """Return how loaded an engine is; what takes nothing comes last."""
+        """Return the load of an engine, infinite if it accepts no loads."""
         if not holding.may_load:
             return float("inf")
         return self._policy.busy_cost_s(holding, now)
@@ -231,7 +244,10 @@
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
     ) -> tuple[_holding.AdapterName | None] | None:
-        """Return whom a load would replace, or None for no room."""
+        """Return the adapter that a load would evict, in a tuple.
+
+        ``(None,)`` if a slot is free, None if no load can start now.
+        """
         if not holding.may_load or holding.in_transit() >= MOST_IN_TRANSIT:
             return None
         if len(holding.slot_by_name) < holding.capacity:
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -1,4 +1,7 @@
-"""Orders to one engine: one after the other, each with what it expects."""
+"""Sends load and unload orders to one engine, one at a time.
+
+Each order carries the sequence number that the engine is expected to have.
+"""
 
 import abc
 import asyncio
@@ -11,6 +14,7 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
+# Maximum lag of reports behind the engine's state.
 REPORT_LAG_S = 0.3
 SETTLE_RETRY_S = 0.3
 MOST_SETTLE_RETRY_S = 1.5
@@ -21,8 +25,10 @@
 MOST_RESENDS = 3
 MOST_LOST_CONFIRMS = 2
 MODEL_POLL_S = 0.2
+# Timeout of a base model load, as a multiple of its usual duration.
 MODEL_LOAD_TIMES = 2.5
-# Fencing numbers of one term, for the starts of one engine in it.
+# Fencing numbers reserved for each term. Each incarnation of an engine within
+# the term takes the next one.
 FENCES_OF_TERM = 1_000
 
 State = _holding.SlotState
@@ -30,26 +36,26 @@
 
 
 class OrderGate(abc.ABC):
-    """What orders to engines must ask before they leave."""
+    """Decides whether orders to engines may be sent."""
 
     @abc.abstractmethod
     def leads(self) -> bool:
-        """Whether this process leads, so that its ledger counts."""
+        """Whether this process is the leader of the record's term."""
 
     @abc.abstractmethod
     def may_order(self) -> bool:
-        """Whether an order may leave at this moment."""
+        """Whether an order may be sent now."""
 
     @abc.abstractmethod
     def sending(self) -> contextlib.AbstractContextManager[None]:
-        """Hold while an order may be on its way."""
+        """Return a context that marks an order as in flight."""
 
 
 class StoreTurns:
-    """Lets base models come from the store one after the other.
+    """Serializes the loads of base models from the store.
 
-    Loads at the same time slow each other down, so that one after the
-    other the first are done sooner and the last no later.
+    Concurrent loads slow each other down. In sequence, the first ones finish
+    sooner and the last one no later.
     """
 
     def __init__(self) -> None:
@@ -57,25 +63,25 @@
 
     @contextlib.asynccontextmanager
     async def turn(self) -> collections.abc.AsyncIterator[None]:
-        """Wait for the turn and hold it."""
+        """Hold exclusive access to the store for a load."""
         async with self._turn:
             yield
 
 
 class EngineOrders:
-    """Gives the orders to one incarnation of an engine.
+    """Sends the orders to one incarnation of an engine.
 
     Args:
-        term: of the lead under which orders are given.
-        earlier_starts: how many starts of this engine were ordered before
-            in this term. An order of theirs that was left unanswered may be
-            carried out when this one has accepted as many orders as it
-            expects; of 16 random loads with starts it filled an engine
-            beyond its room in 2. A higher fencing number stops it.
-        gate: what orders ask as each is written.
-        changed: called when something became ready.
-        started: told when the engine says that it started anew, and when
-            it did; this ledger is void then.
+        term: the leader's term under which orders are sent.
+        earlier_starts: number of earlier incarnations of this engine that
+            got orders in this term. An unanswered order to one of them would
+            be accepted by this one once the sequence number matches; in 2 of
+            16 random workloads with restarts it overfilled an engine. A
+            higher fencing number rejects it.
+        gate: checked as each order is written.
+        changed: called when a load or the engine's state was confirmed.
+        started: called with the start time in milliseconds when the engine
+            reports another start; this record is then invalid.
     """
 
     def __init__(
@@ -112,7 +118,7 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Give no more orders."""
+        """Cancel all tasks and send no more orders."""
         self._stopped = True
         if self._settling is not None:
             self._settling.cancel()
@@ -120,9 +126,11 @@
             task.cancel()
 
     def tend(self) -> None:
-        """Settle what was left open while the lead was in doubt.
+        """Reconcile an unknown state, or check for unreported runs.
 
-        After a take-over, ask now and then whether all runs are known.
+        The state may have been left unknown while the leadership was
+        uncertain. After a leader change, the engine's count of runs is polled
+        until no unreported request can run there.
         """
         if not self.holding.known:
             self.settle()
@@ -139,11 +147,12 @@
             self._changed()
 
     async def _report(self) -> targets.AdapterReport:
-        """Return the report of this start of the engine.
+        """Return a report of this incarnation of the engine.
 
         Raises:
-            ServingError: it can't be had.
-            OtherStartError: this ledger is void.
+            ServingError: the engine gave no report.
+            OtherStartError: the engine was restarted; this record is
+                invalid.
         """
         observe.count_message(self._metrics, "report")
         report = await self._engine.report()
@@ -152,7 +161,7 @@
         if report.born_ms not in (None, self._born_ms):
             self._started(report.born_ms)
             raise wire.OtherStartError(
-                "The engine started anew. Wait for its new ledger."
+                "The engine was restarted. Wait until its state is known."
             )
         return report
 
@@ -162,11 +171,11 @@
         self.holding.compare_runs(runs, seen_until)
 
     def settle(self) -> None:
-        """Learn anew what the engine holds, from its report."""
+        """Mark the state as unknown and reconcile it with a report."""
         self.holding.known = False
         if not self._leads():
-            # Another holder starts a ledger of its own; when the lead comes
-            # back to this one, it is asked to tend to it.
+            # A new leader starts records of its own. If this process leads
+            # again, tend() resumes the reconciliation.
             return
         if self._settling is None or self._settling.done():
             work = observe.timed(self._metrics, "report", self._settle)
@@ -214,7 +223,10 @@
                 self._run(self._confirm, name, slot)
 
     async def _load_model(self, report: targets.AdapterReport) -> bool:
-        """Order a base model for an engine that holds none."""
+        """Load a base model into an engine without one.
+
+        Returns whether the engine has to be polled again.
+        """
         if not self._spec.models or self.holding.leaving:
             return False
         if not self._gate_open():
@@ -230,7 +242,7 @@
         return True
 
     async def _load_and_wait(self, model: catalogue.BaseModel) -> None:
-        """Order a load and wait for it, within reason."""
+        """Order a base model load and wait until it ends or times out."""
         order = self._order((model.name, ""), None, None)
         outcome = await self._send(self._engine.load, order)
         self._log("load_model", model=model.name, outcome=str(outcome))
@@ -251,7 +263,7 @@
         victim: _holding.AdapterName | None,
         now: float,
     ) -> None:
-        """Load an adapter, in the place of *victim*."""
+        """Start to load an adapter, evicting *victim* first if not None."""
         holding = self.holding
         replaced = holding.slot_by_name.get(name)
         uses = replaced.uses if replaced is not None else 0
@@ -288,8 +300,8 @@
         victim: _holding.AdapterName | None,
     ) -> None:
         async with self._lock:
-            # Meanwhile the engine may have been settled, and the ledger no
-            # longer counts on this load.
+            # The state may have been reconciled while this task waited for
+            # the lock, and the load is no longer part of it.
             if not self._still_planned(name, slot):
                 return
             if victim is not None:
@@ -312,7 +324,7 @@
         return self.holding.known and holds
 
     def _accepted(self, outcome: Order | None) -> bool:
-        """Follow an order's outcome; anything but a yes must be settled."""
+        """Apply an order's outcome; reconcile unless it was accepted."""
         if outcome in (Order.STARTED, Order.HOLDS):
             self.holding.sequence += 1
             return True
@@ -325,14 +337,14 @@
     async def _confirm(
         self, name: _holding.AdapterName, slot: _holding.Slot
     ) -> None:
-        """Order the same load until the engine says that it holds."""
+        """Repeat a load order until the engine answers that it is loaded."""
         await self._clock.sleep(max(0.0, slot.ready_at - self._clock.now()))
         lost = 0
         for _ in range(MOST_CONFIRMS):
             if self.holding.slot_by_name.get(name) is not slot:
                 return
             if self._leads() and not self._gate_open():
-                # No order may leave yet; the report tells it as well.
+                # No order may be sent yet; a report shows the outcome too.
                 await self._clock.sleep(SETTLE_RETRY_S)
                 self.settle()
                 return
@@ -340,7 +352,8 @@
                 order = self._order(name, slot.version, self.holding.sequence)
                 outcome = await self._send(self._engine.load, order)
             if outcome is None and self._gate_open():
-                # The order was lost, and carried out late it does nothing.
+                # The order was lost. If it is executed late, it has no
+                # effect.
                 lost += 1
                 if lost <= MOST_LOST_CONFIRMS:
                     continue
@@ -380,10 +393,10 @@
         ],
         order: targets.EngineOrder,
     ) -> Order | None:
-        """Send an order until it is answered; None when it was not.
+        """Send an order, resending it if lost; None if it got no answer.
 
-        Two of the same order can't both be carried out: the first that is
-        moves the sequence on, and the other then expects another one.
+        A resent order can't be executed twice: the first execution advances
+        the engine's sequence number, so the second one no longer matches.
         """
         observe.count_message(self._metrics, "order")
         for _ in range(MOST_RESENDS):
@@ -402,7 +415,7 @@
 
     @property
     def _fence(self) -> int:
-        """The fencing number of orders to this start of the engine."""
+        """The fencing number of orders to this incarnation."""
         starts = min(self._starts, FENCES_OF_TERM - 1)
         return self._term * FENCES_OF_TERM + starts
 
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -1,4 +1,4 @@
-"""What one engine holds, as the holder of its orders knows it."""
+"""The scheduler's record of one engine: its slots, grants and copies."""
 
 import collections
 import collections.abc
@@ -14,22 +14,26 @@
 if typing.TYPE_CHECKING:
     from bergamotsail.placement import _place_policy
 
+# Maximum number of prompt prefixes tracked as cached, evicted by LRU.
 KEPT_PREFIXES = 400
-# Engines are believed to keep copies of so many adapters for each slot. On
-# engines of 9 slots 24 of 217 loads that were believed to come from a copy
-# took as long as from the store with 64 copies believed, and 1 of 101 with
-# these 54 (one run each); on engines of 6 slots 36 were found before.
+# Number of adapter copies that an engine is assumed to keep for each slot.
+# With 64 copies assumed on engines of 9 slots, 24 of 217 loads from a
+# supposed copy took as long as a fetch from the store, and with 54 copies 1
+# of 101 (one run each). Engines of 6 slots were found to keep 36.
 COPIES_BY_SLOT = 6
 FAULT_HALF_LIFE_S = 4.0
-# Part of an engine's memory that requests are placed into. Blocks that are
-# not full take the rest.
+# Fraction of an engine's memory that is used for requests. Partly filled
+# blocks take up the rest.
 MEMORY_SHARE = 0.97
 
 AdapterName = tuple[str, str]
 
 
 class SlotState(enum.StrEnum):
-    """Where an adapter slot stands."""
+    """The state of an adapter slot.
+
+    DOUBTFUL: the engine reported the load as pending; it is not confirmed.
+    """
 
     LOADING = "loading"
     READY = "ready"
@@ -41,12 +45,12 @@
     """An adapter slot of an engine.
 
     Args:
-        version: None when the engine was not told one.
-        uses: requests that run on it.
-        used_at: when it was last granted or released.
-        ready_at: when its load is expected to be done.
-        reported: found in a report rather than loaded by this holder, so
-            that requests may run on it that this holder has not granted.
+        version: None if the load order named no version.
+        uses: number of requests that run on it.
+        used_at: when a request was last granted or released on it.
+        ready_at: when its load is expected to finish.
+        reported: found in a report rather than loaded by this process, so
+            that requests granted by an earlier leader may run on it.
     """
 
     version: int | None
@@ -59,7 +63,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """A request that may run at an engine."""
+    """A request that may run on an engine.
+
+    Args:
+        tokens: prompt tokens plus the maximum of generated tokens.
+    """
 
     boot: str
     request: str
@@ -69,16 +77,16 @@
 
 
 class Holding:
-    """The ledger of one incarnation of an engine.
+    """The scheduler's record of one incarnation of an engine.
 
-    Accepted orders are the truth; a report, which lags, only confirms or
-    settles what an order without an answer left open.
+    It follows the accepted orders. Reports lag, so they only confirm the
+    record or resolve the outcome of an order that was not answered.
 
     Args:
-        spec: what engines of its pool can hold and run.
-        told_by: when daemons have told of what they ran here before this
-            ledger was begun.
-        pool_pace: what is believed of the pool's engines together.
+        spec: capacity of the engines of the pool.
+        told_by: when all daemons have reported the requests that they were
+            running here before this record was created.
+        pool_pace: the prefill estimate over the engines of the pool.
     """
 
     def __init__(
@@ -101,7 +109,7 @@
         self.begin_anew()
 
     def begin_anew(self) -> None:
-        """Forget all that was believed of an engine that started anew."""
+        """Reset the record after a restart of the engine."""
         self.known = False
         self.fenced = False
         self.sequence = 0
@@ -121,11 +129,11 @@
 
     @property
     def may_load(self) -> bool:
-        """Whether the ledger is known and orders are allowed."""
+        """Whether the state is known and load orders are possible."""
         return self.known and not self.leaving and not self.fenced
 
     def can_take(self, wish: "_place_policy.Wish") -> bool:
-        """Whether a request may run here and fits beside the others."""
+        """Whether a request may run here and fits into the free capacity."""
         return (
             not self.leaving
             and self.tokens + wish.tokens <= self._most_tokens
@@ -137,18 +145,18 @@
 
     @property
     def running(self) -> int:
-        """Requests granted and not yet released."""
+        """Number of requests granted and not yet released."""
         return len(self.grant_by_request)
 
     def in_transit(self) -> int:
-        """How many adapters are on their way to it."""
+        """Return the number of adapters whose load is not confirmed."""
         return sum(
             slot.state is not SlotState.READY
             for slot in self.slot_by_name.values()
         )
 
     def summary(self, now: float) -> str:
-        """Return its state in a few figures, for the log."""
+        """Return the state as key=value pairs for the log."""
         slots = self.slot_by_name.values()
         return (
             f"running={self.running} tokens={self.tokens}"
@@ -161,7 +169,7 @@
         )
 
     def take_report(self, report: targets.AdapterReport, now: float) -> None:
-        """Start from a report that shows all accepted orders."""
+        """Replace the slots by a report that reflects all accepted orders."""
         self.sequence = report.sequence
         self.models = set(report.models)
         found: dict[AdapterName, Slot] = {}
@@ -182,12 +190,12 @@
         self.known = True
 
     def shows_new_start(self, report: targets.AdapterReport) -> bool:
-        """Whether a report shows that the engine started anew.
+        """Whether a report shows that the engine was restarted.
 
-        For engines that don't tell when they started: fewer orders were
-        accepted than the ledger counts, and nothing of what it holds as
-        ready is there. The count alone may be off by an order whose answer
-        was lost.
+        This serves engines that don't report their start time. The report
+        has a lower sequence number than the record and contains no adapter
+        that the record has as ready. The sequence number alone is not
+        enough, since a lost answer to an order can make it differ by one.
         """
         if report.sequence >= self.sequence:
             return False
@@ -198,20 +206,20 @@
         )
 
     def is_idle(self, slot: Slot, now: float) -> bool:
-        """Whether surely no request runs on a slot."""
+        """Whether it is certain that no request runs on a slot."""
         if slot.state is not SlotState.READY or slot.uses > 0:
             return False
         return not (slot.reported and self.awaits_word(now))
 
     def awaits_word(self, now: float) -> bool:
-        """Whether daemons may run more here than they have told of."""
+        """Whether requests may run here that daemons have not reported."""
         return now < self._told_by
 
     def compare_runs(self, runs: int, granted_before: float) -> None:
-        """Take an engine's own count of runs, which lags.
+        """Compare an engine's own count of runs with the grants.
 
-        When it counts no more than the grants that it can have seen, then
-        nothing runs that daemons have yet to tell of.
+        The count lags. If it does not exceed the number of grants made up to
+        *granted_before*, no unreported request runs on the engine.
         """
         known = sum(
             grant.granted_at <= granted_before
@@ -221,7 +229,7 @@
             self._told_by = 0.0
 
     def remember_copy(self, name: AdapterName) -> None:
-        """Note that the engine keeps a copy of an adapter at hand."""
+        """Record that the engine keeps a local copy of an adapter."""
         if name not in self._copies:
             self.new_copies[name] = None
         self._copies[name] = None
@@ -230,20 +238,20 @@
             self._copies.popitem(last=False)
 
     def recall_copies(self, names: collections.abc.Iterable[str]) -> None:
-        """Take what an earlier holder of the orders remembered."""
+        """Restore the copies that an earlier leader recorded."""
         for text in names:
             model, _, adapter = text.partition("/")
             self.remember_copy((model, adapter))
         self.new_copies.clear()
 
     def has_copy(self, name: AdapterName) -> bool:
-        """Whether a load of an adapter here is quick and free."""
+        """Whether the engine can load an adapter from a local copy."""
         return name in self._copies
 
     def new_tokens(
         self, name: AdapterName, parts: tuple[tuple[str, int], ...], total: int
     ) -> int:
-        """Return how many prompt tokens are not cached here."""
+        """Return the number of prompt tokens outside the cached prefix."""
         for part, tokens in parts:
             if (name, part) not in self._prefixes:
                 break
@@ -257,7 +265,7 @@
         prompt_tokens: int,
         priority: int = 0,
     ) -> int:
-        """Count a request in; return how many tokens it has to read."""
+        """Add a granted request and return its tokens to be prefilled."""
         fresh = self.new_tokens(grant.name, parts, prompt_tokens)
         key = (grant.boot, grant.request)
         self.reading.add(key, fresh, priority, grant.granted_at)
@@ -271,10 +279,11 @@
         return fresh
 
     def restore(self, grant: Grant) -> None:
-        """Count a request in that a daemon says is running.
+        """Add a request that a daemon reports as running.
 
-        One that is counted already runs only once: asked for again after a
-        lost reply, it would keep its slot in use and its memory taken.
+        A grant of the same request is replaced. An entry repeats its call
+        after a lost reply, and counting the request twice would leave its
+        slot in use and its memory reserved.
         """
         self._count_out(grant.boot, grant.request, grant.granted_at)
         self.grant_by_request[(grant.boot, grant.request)] = grant
@@ -285,7 +294,7 @@
             slot.used_at = grant.granted_at
 
     def release(self, boot: str, request: str, now: float) -> Grant | None:
-        """Count a request out."""
+        """Remove a request and return its grant, if there was one."""
         self.reading.drop((boot, request))
         return self._count_out(boot, request, now)
 
@@ -301,16 +310,19 @@
         return grant
 
     def add_fault(self, now: float, weight: float = 1.0) -> None:
-        """Note that the engine failed a request."""
+        """Record a failure of the engine."""
         self._faults.add(self.info.id, now, weight)
 
     def faults(self, now: float) -> float:
-        """Return recent failures, fading with time."""
+        """Return the decayed count of recent failures."""
         return self._faults.value(self.info.id, now)
 
 
 def capacity_of(spec: catalogue.EngineSpec) -> int:
-    """Return how many adapters fit beside the largest base model."""
+    """Return how many adapters fit next to the base model.
+
+    It is the smallest number over the models of the pool.
+    """
     capacity = spec.adapter_slots
     for model in spec.models:
         if model.adapter_mb > 0:
--- a/libs/placement/src/bergamotsail/placement/_leadership.py
+++ b/libs/placement/src/bergamotsail/placement/_leadership.py
@@ -1,4 +1,4 @@
-"""The lead of the log, as the holder of orders asks for it."""
+"""The scheduler's interface to the leadership of the replicated log."""
 
 import abc
 
@@ -6,17 +6,17 @@
 
 
 class Leadership(abc.ABC):
-    """Whether this process may give orders, right now."""
+    """Whether this process is the leader, and under which term."""
 
     @property
     @abc.abstractmethod
     def term(self) -> int:
-        """The fencing number of its orders."""
+        """The current term, from which fencing numbers are derived."""
 
     @abc.abstractmethod
     def holds(self) -> bool:
-        """Whether no other process can give orders at this moment."""
+        """Whether this process leads and no other can lead at this moment."""
 
     @abc.abstractmethod
     def refusal(self) -> wire.ServingError:
-        """Return the error that says who leads instead."""
+        """Return an error that names the current leader."""
--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -1,43 +1,44 @@
-"""How fast engines read prompts, learned from their first answers.
+"""Estimates of prefill speed, learned from the times to the first answer.
 
-Engines of one pool differ, and one engine's speed changes when it turns
-slow. A constant that was measured on other engines is wrong by a factor;
-an observation of this engine, some seconds old, is not.
+Engines of one pool differ in speed, and an engine may slow down while it
+runs. A constant measured on other engines can be wrong by a factor, so
+recent observations of the engine itself are used.
 """
 
 import collections
 import dataclasses
 
-# A fresh prompt is weighed like that many observations.
+# Weight of each of the prior's two points, in observations.
 PRIOR_WEIGHT = 1.5
-# Observations count half after so long, so that an engine that was slow is
-# believed to be like its peers again and is tried.
+# Half-life of the weight of observations. An engine that was slow returns to
+# the estimate of its pool and gets requests again.
 HALF_LIFE_S = 6.0
-# Each observation leaves this part of the weight of those before it: about
-# eight of them speak at a time, so that an engine that turns slow under
-# load is found out within two seconds and not within one half-life.
+# Factor that each observation applies to the weight of the earlier ones. It
+# gives an effective window of about eight observations, so that an engine
+# that slows down under load is detected within two seconds rather than one
+# half-life.
 KEPT_BY_EACH = 0.88
-# Every prompt is at least this urgent.
+# Priority value that no request exceeds; it selects all prompts.
 LEAST_URGENT = 1_000
-# A prompt of about this size carries the prior's speed.
+# Prompt size of the second point of the prior; the first is an empty prompt.
 PRIOR_TOKENS = 4_000.0
-# A belief is computed anew when it is older than this.
+# Maximum age of a cached estimate.
 BELIEF_AGE_S = 0.1
-# Whatever is observed, an engine is believed to be within these speeds.
+# Bounds of an estimate, whatever is observed.
 LEAST_TOKENS_PER_S = 1_000.0
 MOST_TOKENS_PER_S = 1_000_000.0
 MOST_FIXED_S = 0.25
-# One observation moves a belief by at most so many times its value.
+# An observation is capped at this multiple of the expected duration.
 MOST_SURPRISE = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pace:
-    """What reading a prompt takes: a fixed part and a speed.
+    """A linear model of prefill time: a fixed part and a speed.
 
     Args:
-        fixed_s: seconds until the first answer of an empty prompt.
-        tokens_per_s: speed of reading, beside what else runs.
+        fixed_s: seconds until the first answer to an empty prompt.
+        tokens_per_s: prefill speed under the concurrent load.
 
     Example: ``Pace(0.012, 16_000.0).read_s(1_600)`` gives 0.112.
     """
@@ -46,18 +47,18 @@
     tokens_per_s: float
 
     def read_s(self, tokens: int) -> float:
-        """Return how long a prompt takes to be read."""
+        """Return the prefill time of a prompt in seconds."""
         return self.fixed_s + tokens / self.tokens_per_s
 
 
-# What is believed of engines of which nothing was observed. Slower than
-# most: who is believed too fast is crowded at once, who is believed too
-# slow is corrected by the first answers.
+# Estimate for engines without observations. It is slower than most engines:
+# one that is overestimated is overloaded at once, while one that is
+# underestimated is corrected by its first answers.
 FIRST_BELIEF = Pace(0.012, 16_000.0)
 
 
 class PaceEstimate:
-    """A line through observed (tokens, seconds), older ones weighing less.
+    """A least-squares line through (tokens, seconds) with decaying weights.
 
     Example: after ``learn(8_000, 0.25, now)`` a few times over, ``pace``
     reads some 32,000 tokens a second.
@@ -74,7 +75,7 @@
     def learn(
         self, tokens: int, took_s: float, prior: Pace, now: float
     ) -> None:
-        """Take one observation."""
+        """Add an observation."""
         expected_s = self.pace(prior, now).read_s(tokens)
         took_s = min(max(took_s, 0.0), expected_s * MOST_SURPRISE)
         self._fade(now, KEPT_BY_EACH)
@@ -94,7 +95,7 @@
         self._tokens_seconds *= factor
 
     def pace(self, prior: Pace, now: float) -> Pace:
-        """Return the belief; with nothing observed lately, the prior."""
+        """Return the estimate; without recent observations, the prior."""
         factor = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
         high_s = prior.read_s(PRIOR_TOKENS)
         weight = self._weight * factor + 2 * PRIOR_WEIGHT
@@ -122,10 +123,10 @@
 
 
 class PoolPace:
-    """What is believed of a pool's engines together: the prior of each.
+    """The estimate over all engines of a pool, the prior of each of them.
 
     Args:
-        learns: False keeps to the first belief.
+        learns: False always returns the initial estimate.
     """
 
     def __init__(self, learns: bool = True) -> None:
@@ -134,24 +135,24 @@
         self._last = FIRST_BELIEF
 
     def learn(self, tokens: int, took_s: float, now: float) -> None:
-        """Take an observation of any engine of the pool."""
+        """Add an observation of any engine of the pool."""
         if not self.learns:
             return
         self._estimate.learn(tokens, took_s, FIRST_BELIEF, now)
         self._last = self._estimate.pace(FIRST_BELIEF, now)
 
     def pace(self) -> Pace:
-        """Return the last belief; it stays while nothing is observed."""
+        """Return the latest estimate; it does not decay between updates."""
         return self._last
 
 
 class Reading:
-    """The prompts that one engine has yet to read, and how fast it reads.
+    """The prefill backlog of one engine and the estimate of its speed.
 
-    A first answer shows that a prompt and all before it were read, so the
-    believed backlog is put right with each and can't drift. An engine takes
-    a more urgent prompt first, whatever it has begun, so a request waits
-    only for what is as urgent as itself.
+    A first answer shows that a prompt and all before it were read. It
+    corrects the estimated backlog, so that errors don't accumulate. An
+    engine preempts prefill for a more urgent prompt, so a request waits only
+    for prompts that are at least as urgent.
     """
 
     def __init__(self, pool: PoolPace) -> None:
@@ -160,7 +161,7 @@
         self._unread: collections.OrderedDict[tuple[str, str], _Unread] = (
             collections.OrderedDict()
         )
-        # When the engine turned to the oldest unread prompt.
+        # When the engine started to read the oldest unread prompt.
         self._since = 0.0
         self._pace = pool.pace()
         self._pace_at = float("-inf")
@@ -168,7 +169,7 @@
         self._backlog_at = float("-inf")
 
     def pace(self, now: float) -> Pace:
-        """Return what is believed of its speed."""
+        """Return the estimated prefill speed, at most BELIEF_AGE_S old."""
         if now - self._pace_at > BELIEF_AGE_S:
             self._pace = self._estimate.pace(self._pool.pace(), now)
             self._pace_at = now
@@ -177,19 +178,19 @@
     def add(
         self, key: tuple[str, str], tokens: int, priority: int, now: float
     ) -> None:
-        """Count a prompt in that is on its way to the engine."""
+        """Add a prompt that is sent to the engine."""
         if not self._unread:
             self._since = now
         self._unread[key] = _Unread(now, tokens, priority)
         self._backlog_at = float("-inf")
 
     def drop(self, key: tuple[str, str]) -> None:
-        """Count a prompt out that will not be read, or was."""
+        """Remove a prompt that was read or will not be."""
         if self._unread.pop(key, None) is not None:
             self._backlog_at = float("-inf")
 
     def begun(self, key: tuple[str, str], first_s: float, now: float) -> None:
-        """Learn that the first answer came *first_s* after the grant."""
+        """Record that the first answer came *first_s* after the grant."""
         unread = self._unread.get(key)
         if unread is None:
             return
@@ -197,7 +198,8 @@
         in_turn = key == next(iter(self._unread))
         self.drop(key)
         if not in_turn:
-            # It was read between; the oldest had to wait for that long.
+            # It was read ahead of the oldest prompt, which was delayed by
+            # its prefill time.
             read_s = self.pace(now).read_s(unread.tokens)
             self._since = min(self._since + read_s, max(self._since, now))
             return
@@ -210,13 +212,14 @@
         self._since = max(self._since, first_at)
 
     def backlog_s(self, now: float, priority: int | None = None) -> float:
-        """Return how long a prompt that comes now waits to be read.
+        """Return how long a prompt that is sent now waits for its prefill.
 
-        An engine that is later than believed with its next answer is
-        believed to stay late by as much again.
+        If the engine's next answer is overdue, the estimate grows by the
+        time that it is overdue.
 
         Args:
-            priority: of the prompt, 0 for the most urgent; None counts all.
+            priority: of the prompt, 0 is the most urgent; None counts all
+                prompts.
         """
         if not self._unread:
             return 0.0
--- a/libs/placement/src/bergamotsail/placement/_place_messages.py
+++ b/libs/placement/src/bergamotsail/placement/_place_messages.py
@@ -1,4 +1,4 @@
-"""What entries and the holder of the engines' orders say to each other."""
+"""Messages between entries and the scheduler."""
 
 import dataclasses
 import enum
@@ -7,7 +7,12 @@
 
 
 class UseOutcome(enum.StrEnum):
-    """How a request ended at its target."""
+    """How a request ended at its target.
+
+    REFUSED: the target rejected it.
+    ABSENT: the target did not hold the adapter.
+    LEFT: the caller left, or the request was not sent after all.
+    """
 
     DONE = "done"
     REFUSED = "refused"
@@ -36,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """Give back what requests used, and tell which were begun."""
+    """Report ended requests, and requests that got their first answer."""
 
     boot: str
     ended: tuple[EndedUse, ...]
@@ -48,20 +53,21 @@
     """Ask for an engine that holds an adapter.
 
     Args:
-        boot: of the asking daemon.
-        request: names the request among all of that daemon.
+        boot: boot id of the calling daemon.
+        request: id of the request, unique within that daemon.
         adapter: empty for the base model itself.
-        prompt_tokens: tokens to be read.
-        output_tokens: tokens to be generated at most.
-        parts: the parts of the prompt with their tokens, in order.
+        prompt_tokens: number of tokens in the prompt.
+        output_tokens: maximum number of generated tokens.
+        parts: ids and token counts of the parts of the prompt, in order.
         priority: 0 is the most urgent.
-        patience_s: how long the caller of this call waits.
+        patience_s: how long the caller waits for the reply.
         avoid: targets that have refused or failed this request.
-        waited_s: how long it has waited before this call.
-        objective_s: the time until the first token that is worth most.
-        hope_s: refuse it after this wait unless a load is on its way.
-        age_s: how long its caller had tried before this attempt, about.
-        releases: what the daemon has to give back, on the same way.
+        waited_s: how long the request waited before this call.
+        objective_s: objective for the time to the first token.
+        hope_s: refuse the request after this wait unless a load for it is in
+            progress.
+        age_s: approximate time that the client spent on earlier attempts.
+        releases: pending releases of the daemon, sent along.
     """
 
     boot: str
@@ -85,13 +91,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceReply:
-    """Where a request may run now.
+    """A grant to run a request on a target.
 
     Args:
-        target: the incarnation that must run it.
-        version: of the adapter; None when any is the newest.
-        waited_s: how long the request waited for an adapter.
-        reason: why this target, in a few words.
+        target: the engine incarnation that must run it.
+        version: of the adapter; None for no specific one.
+        waited_s: how long the request waited for the grant.
+        reason: ``resident`` or ``loaded``.
     """
 
     target: str
@@ -103,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Released:
-    """A reply without content."""
+    """An empty reply."""
 
 
 PLACE = wire.Call("place", PlaceRequest, PlaceReply)
--- a/libs/placement/src/bergamotsail/placement/_place_settings.py
+++ b/libs/placement/src/bergamotsail/placement/_place_settings.py
@@ -1,7 +1,6 @@
-"""The switches and figures of the decisions on places.
+"""Settings of the scheduler's decisions.
 
-Each mechanism can be switched off by itself, so that what it gains can be
-measured without an edit.
+Each mechanism can be disabled separately to measure its benefit.
 """
 
 import dataclasses
@@ -9,16 +8,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceSettings:
-    """How the holder of the orders decides.
+    """Settings of the scheduler's decisions.
 
     Args:
-        learned_pace: believe what was observed of each engine's speed,
-            instead of one figure for all.
-        spread: rather load a further copy of a busy adapter, or wait for
-            one that is being loaded, than queue where it is resident.
-        other_datacentre_s: cost of bytes between data centres.
-        store_price_s: cost of a fetch from the store that only one
-            request is known to need.
+        learned_pace: estimate the prefill speed of each engine from
+            observations, instead of using one constant for all.
+        spread: load a busy adapter on a further engine, or wait for such a
+            load in progress, if that is faster than queueing where it is
+            resident.
+        other_datacentre_s: cost of traffic between data centres, in seconds.
+        store_price_s: cost of a fetch from the store for a single request,
+            in seconds.
 
     Example: ``PlaceSettings(spread=False)``
     """
@@ -31,4 +31,4 @@
     def __post_init__(self) -> None:
         for field in ("other_datacentre_s", "store_price_s"):
             if not 0.0 <= getattr(self, field) <= 10.0:
-                raise ValueError(f"{field} must lie between 0 and 10 seconds.")
+                raise ValueError(f"{field} must be between 0 and 10 seconds.")
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -1,4 +1,4 @@
-"""Whether orders to engines may leave this process, and who is told."""
+"""Acquires and checks this process's right to send orders to engines."""
 
 import asyncio
 import collections.abc
@@ -12,16 +12,16 @@
 
 # How many former holders a log line names.
 LOGGED_HOLDERS = 3
-# A note that the log did not take is tried again after so long.
+# Delay before a failed note to the log is retried.
 NOTE_RETRY_S = 0.25
 
 
 class OrderRights(_engine_orders.OrderGate):
-    """Follows the lead and claims the right to order, when it is due.
+    """Follows the leadership and claims the right to give orders when due.
 
     Args:
-        notes: where it is remembered who gave orders.
-        opened: called when orders may leave from now on.
+        notes: where the processes that gave orders are recorded.
+        opened: called when orders may be sent from now on.
     """
 
     def __init__(
@@ -52,16 +52,16 @@
         return self._tenure.sending(self._clock.now)
 
     def wait_s(self) -> float:
-        """Return for how long no order may leave, as far as is known."""
+        """Return the expected wait until orders may be sent."""
         return self._tenure.wait_s(self._term, self._clock.now())
 
     def follow(self, term: int) -> None:
-        """Take that the ledger is of this term from now on."""
+        """Switch to a new term and claim the right to give orders in it."""
         self._term = term
         self.claim()
 
     def claim(self) -> None:
-        """Claim the right to order, as soon as it is due."""
+        """Start recording this process as the holder if that is due."""
         if not self.leads():
             return
         if self._tenure.fence != self._term:
@@ -75,7 +75,7 @@
             self._noting = asyncio.create_task(work)
 
     def stop(self) -> None:
-        """Claim nothing any more."""
+        """Cancel a note in progress."""
         if self._noting is not None:
             self._noting.cancel()
 
@@ -92,7 +92,7 @@
         )
 
     async def _note(self, term: int, alone: bool) -> None:
-        """Note who orders before the first order leaves."""
+        """Record this process as the holder before its first order."""
         try:
             await self._notes.note(term, alone)
         except (wire.ServingError, TimeoutError) as error:
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -1,10 +1,11 @@
-"""When a process may give orders to engines, over changes of the lead.
-
-Whoever leads the log gives the orders, under its term as fencing number.
-Elections may follow each other at any pace, and the right to order must
-not: one that ordered, and after whom another may have ordered, waits until
-its own last order is a lease old. A replica that did not order of late
-begins at once, so that the loss of a leader costs no wait.
+"""When a process may give orders to engines, across leader changes.
+
+The leader of the replicated log gives the orders, fenced by its term.
+Elections may follow each other quickly, but the right to give orders must
+not change hands as fast. A process that gave orders, and after which another
+one may have given some, waits until its own last order is one lease old. A
+replica that gave none recently starts at once, so that failover after the
+loss of a leader costs no wait.
 """
 
 import abc
@@ -16,34 +17,34 @@
 
 
 class HolderNotes(abc.ABC):
-    """Remembers, beyond this process, who gave orders to engines."""
+    """Persists outside this process which instances gave orders."""
 
     @property
     @abc.abstractmethod
     def name(self) -> str:
-        """The lasting name of this process's instance."""
+        """The name of this instance, stable across restarts."""
 
     @abc.abstractmethod
     def former(self) -> collections.abc.Sequence[str]:
-        """Return who gave orders of late, the last one last.
+        """Return the instances that gave orders recently, the latest last.
 
-        It is complete while this process leads.
+        The list is complete while this process is the leader.
         """
 
     @abc.abstractmethod
     async def note(self, fence: int, alone: bool) -> None:
-        """Remember that this process gives orders from now on.
+        """Record that this process gives orders from now on.
 
         Args:
-            alone: those who ordered before need not be remembered longer.
+            alone: the earlier instances may be dropped from the record.
 
         Raises:
-            ServingError: it may be remembered, or not.
+            ServingError: it is unknown whether the note was recorded.
         """
 
 
 class NoHolderNotes(HolderNotes):
-    """Remembers nothing, where no other process ever gives orders."""
+    """Records nothing; for deployments with a single order-giving process."""
 
     @property
     def name(self) -> str:
@@ -57,7 +58,7 @@
 
 
 class Tenure:
-    """The right of one process to give orders; it reads no clock.
+    """The right of one process to give orders, without a clock of its own.
 
     >>> tenure = Tenure(lease_s=3.0, started_at=0.0)
     >>> tenure.begin(2, "r1", ("r1", "r2"), now=10.0)
@@ -68,13 +69,13 @@
     True
 
     Args:
-        lease_s: how old an own order must be, once another process may have
-            ordered after it.
-        started_at: when this process started; what it ordered before, it
-            ordered before then.
-        quiet_s: how long the holder of each new term waits where engines
-            ignore fencing numbers, so that orders of the term before, its
-            own as well, have surely ended.
+        lease_s: minimum age of this process's last order, if another process
+            may have given orders after it.
+        started_at: when this process started; orders of its previous run are
+            older than that.
+        quiet_s: how long the leader of each new term waits if engines ignore
+            fencing numbers, so that all orders of the previous term,
+            including its own, have ended.
     """
 
     def __init__(
@@ -98,9 +99,10 @@
         former: collections.abc.Sequence[str],
         now: float,
     ) -> None:
-        """Begin with a fencing number, knowing who ordered before."""
+        """Start a term with its fencing number and the former holders."""
         self.fence = fence
-        # Nobody can have ordered since: others are noted before they do.
+        # If this process is the latest holder, no other process has given
+        # orders since, because a holder is recorded before its first order.
         last = bool(former) and former[-1] == name
         self._noted = last and not self._quiet_s
         self._noted_at = now
@@ -109,20 +111,21 @@
         self._quiet_until = now + self._quiet_s
 
     def due(self, now: float) -> bool:
-        """Whether it is time to note that this process orders."""
+        """Whether this process should now be recorded as the holder."""
         return not self._noted and self._wait_s(now) <= 0
 
     def alone_due(self, now: float) -> bool:
-        """Whether all others' last orders are a lease old by now.
+        """Whether the last orders of all other processes are one lease old.
 
-        Once that is noted, one of them that forgot when it ordered begins
-        at once: a restart of all then costs no wait.
+        Once this is recorded, a former holder that restarted and lost the
+        time of its last order need not wait. So a restart of all processes
+        costs no wait.
         """
         held_s = now - self._noted_at
         return self._noted and not self._alone and held_s > self._lease_s
 
     def noted(self, fence: int, now: float, alone: bool = False) -> None:
-        """Take that it is remembered beyond this process."""
+        """Confirm that this process is recorded as the holder."""
         if fence != self.fence:
             return
         if not self._noted:
@@ -131,14 +134,14 @@
         self._alone = self._alone or alone
 
     def may_order(self, fence: int) -> bool:
-        """Whether an order may leave now."""
+        """Whether an order may be sent now."""
         return self._noted and fence == self.fence
 
     @contextlib.contextmanager
     def sending(
         self, now: collections.abc.Callable[[], float]
     ) -> collections.abc.Iterator[None]:
-        """Hold while an order may be on its way."""
+        """Return a context that marks an order as in flight."""
         self._in_flight += 1
         try:
             yield
@@ -147,7 +150,7 @@
             self._ordered_at = max(self._ordered_at, now())
 
     def wait_s(self, fence: int, now: float) -> float:
-        """Return for how long no order may leave, as far as is known."""
+        """Return the expected wait until orders may be sent."""
         if self._noted or fence != self.fence:
             return 0.0
         return self._wait_s(now)
