--- a/libs/placement/src/bergamotsail/placement/__init__.py
+++ b/libs/placement/src/bergamotsail/placement/__init__.py
@@ -1,7 +1,9 @@
-"""The owner of an engine: residency, pins, loads, evictions and runs.
+"""Placement of requests and adapters on engines.
 
-One daemon owns an engine at a time and sees every request for it. So what
-to load, what may be evicted, and who runs next are local decisions.
+For engines that check each request themselves, the scheduler (Placer) on the
+leader grants targets and orders loads. Any other engine is owned by one
+daemon at a time, which sees every request for it and so decides locally what
+to load, what to evict and which request runs next (EngineOwner).
 """
 
 from bergamotsail.placement import _counter
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -1,4 +1,4 @@
-"""The owner of one engine."""
+"""Runs requests on one engine that this daemon owns."""
 
 import asyncio
 import collections.abc
@@ -23,12 +23,12 @@
 
 
 class _GivenUpError(wire.PeerLostError):
-    """The owner waits no longer, so the engine may well be alive."""
+    """The owner stopped waiting; the engine may still be alive."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Stream:
-    """A run that was sent to the engine."""
+    """A run that was dispatched to the engine."""
 
     job: _jobs.Job
     incarnation: str | None
@@ -38,11 +38,10 @@
 
 
 class EngineOwner:
-    """Runs, loads and evicts on one engine, in the name of one epoch.
+    """Runs, loads and evicts on one engine under one ownership epoch.
 
-    It is an async context manager. Every order is sent only while the
-    session says that this epoch owns the engine, asked at the moment of
-    sending.
+    It is an async context manager. Right before each order is sent, the
+    session is asked whether this epoch still owns the engine.
     """
 
     def __init__(
@@ -98,15 +97,15 @@
 
     @property
     def active(self) -> int:
-        """Runs that go on."""
+        """Number of runs in progress."""
         return self._running
 
     def may_order(self) -> bool:
-        """Whether an order would be sent at this moment."""
+        """Whether an order would be sent now."""
         return self._owns()
 
     def status(self) -> control.TargetStatus:
-        """Describe the target for the leader."""
+        """Return the status that is reported to the leader."""
         report = self._state.report
         return control.TargetStatus(
             self.info.id,
@@ -123,15 +122,15 @@
         )
 
     async def hand_over(self) -> None:
-        """Send no more orders; running streams go on.
+        """Stop sending orders; running streams continue.
 
-        Returns once the last order's outcome is known, so that the next
-        owner may order at once.
+        Returns once the outcome of the last order is known, so that the next
+        owner can send orders at once.
         """
         self.handing_over = True
         self._refuse_waiting(self._not_owner())
         async with self._state.ordering:
-            # The view says for a moment yet that this epoch is ours.
+            # The view lags and still shows this epoch as the owner.
             self._released = True
             await self._steps.reach(wire.Step.HAND_OVER, wire.Phase.AFTER)
 
@@ -143,7 +142,7 @@
         """Run a request, or resume its stream, and yield its chunks.
 
         Raises:
-            ServingError: typed, saying whether it ran.
+            ServingError: its type and ``ran`` tell whether the request ran.
         """
         stream = await self._admit(request)
         try:
@@ -153,7 +152,7 @@
             self._settle(stream)
 
     async def cancel(self, stream_id: str) -> None:
-        """End a run whose caller went away."""
+        """Cancel a run whose caller disconnected."""
         parked = self._parked_by_stream.pop(stream_id, None)
         if parked is not None:
             parked.cancel()
@@ -177,13 +176,13 @@
                 return await self._dispatched(job)
         except TimeoutError:
             raise wire.DeadlineError(
-                "The deadline passed while the request waited for "
+                "The deadline passed while the request was waiting for "
                 f"{job.adapter}. Try again later.",
                 retry_after_s=self._expected_wait_s(job),
             ) from None
 
     async def _dispatched(self, job: _jobs.Job) -> _Stream:
-        """Wait until a job may run; leave nothing behind otherwise."""
+        """Wait until a job is dispatched; undo its queueing on failure."""
         try:
             return await job.ready
         except BaseException:
@@ -196,8 +195,8 @@
         entry = self._session.view.adapter_by_id.get(adapter)
         if entry is None or version not in entry.value.versions:
             raise wire.WithdrawnError(
-                f"{request.adapter} was withdrawn. Ask for a version that "
-                "stands."
+                f"{request.adapter} was withdrawn. Request an available "
+                "version."
             )
         now = self._clock.now()
         return _jobs.Job(
@@ -215,7 +214,7 @@
         request = job.request
         if request.incarnation != self._residents.incarnation:
             raise wire.TruncatedError(
-                "The engine restarted, so this answer can't be resumed. "
+                "The engine was restarted, so this stream can't be resumed. "
                 "Send the request again."
             )
         parked = self._parked_by_stream.pop(request.stream_id, None)
@@ -229,12 +228,17 @@
         return stream
 
     def _check_room(self, job: _jobs.Job) -> None:
-        """Refuse what can't be met, or make a flooding member give way."""
+        """Reject a request that would miss its deadline or overfill the queue.
+
+        If the queue is full and another member has more waiting requests,
+        the newest request of the member with the longest queue is rejected
+        instead.
+        """
         expected_s = self._expected_wait_s(job)
         if expected_s > job.request.left_s:
             raise wire.DeadlineError(
-                "The request can't be met in time. Try again later or "
-                "with a later deadline.",
+                "The request can't be served before its deadline. Try again "
+                "later or with a later deadline.",
                 retry_after_s=expected_s,
             )
         if len(self._queue) < self._settings.max_queue:
@@ -253,10 +257,10 @@
             dropped.ready.set_exception(full)
 
     def _expected_wait_s(self, job: _jobs.Job) -> float:
-        """Estimate the wait from the loads that go before.
+        """Estimate the wait from the loads that come first.
 
-        Members take turns, so another member's long queue counts only as
-        far as it goes before this member's.
+        Members take turns, so of another member's loads at most as many are
+        counted as this member has itself.
         """
         if self._residents.usable(job.adapter):
             return 0.0
@@ -272,10 +276,10 @@
         return self._state.load_s * before
 
     def _give_back(self, job: _jobs.Job) -> None:
-        """Undo a dispatch that its waiter will not take.
+        """Undo the dispatch of a job whose caller no longer waits.
 
-        A caller may go away at the very moment its job is dispatched; the
-        adapter's pin and the batch slot must then be free again.
+        If a caller disconnects just as its job is dispatched, the adapter's
+        pin and the batch slot must be released.
         """
         ready = job.ready
         if not ready.done():
@@ -284,7 +288,7 @@
             self._settle(ready.result())
 
     def _dispatch(self) -> None:
-        """Start waiting jobs for which there is room, in fair order."""
+        """Start waiting jobs while batch slots are free, in fair order."""
         if self.handing_over or not self._owns():
             return
         weights = {
@@ -350,21 +354,21 @@
                 self._note_lost(stream, error)
             stream.ended = error.ran is not wire.Ran.UNKNOWN
             if error.ran is wire.Ran.NOT_RUN:
-                # It may no longer be resident; the next report will tell.
+                # The adapter may not be resident; the next report shows it.
                 self._residents.uncertain(job.adapter, self._clock.now())
             raise
         finally:
             await chunks.aclose()
         if not stream.ended:
             raise wire.TruncatedError(
-                "The engine's answer ended without its end mark."
+                "The engine's stream ended without an end marker."
             )
 
     def _check_quarantine(self, stream: _Stream) -> None:
-        """Refuse a request that is known to end the engines that run it.
+        """Reject a quarantined request, which crashed engines that ran it.
 
         Raises:
-            QuarantinedError: it is not sent.
+            QuarantinedError: the request is in quarantine.
         """
         held_by_id = self._session.view.quarantine_by_id
         if not held_by_id:
@@ -372,18 +376,21 @@
         entry = held_by_id.get(_identity(stream.job.request))
         if entry is not None and entry.value.held:
             raise wire.QuarantinedError(
-                f"This request ended {entry.value.ends} engines that ran it. "
-                "Change it, or have an operator delete the catalogue entry "
-                f"quarantine {entry.id}."
+                f"This request crashed {entry.value.ends} engines that ran "
+                "it. Change it, or have an operator delete the catalogue "
+                f"entry quarantine {entry.id}."
             )
 
     def _note_lost(self, stream: _Stream, error: wire.PeerLostError) -> None:
-        """Note that the engine may have ended under a request."""
+        """Record that the engine may have crashed while running a request."""
         if not isinstance(error, _GivenUpError) and not self.info.leaving:
             self._note_end(stream, quarantine.RunEnd.LOST)
 
     def _note_end(self, stream: _Stream, end: quarantine.RunEnd) -> None:
-        """Tell the leader soon how a run ended, if that matters."""
+        """Report the end of a run to the leader without delay.
+
+        A served run is reported only while there are suspects.
+        """
         ends = self._session.ends
         if end is quarantine.RunEnd.SERVED and not ends.any_suspect:
             return
@@ -396,10 +403,10 @@
         self._session.kick()
 
     def _lost(self, job: _jobs.Job) -> wire.ServingError | None:
-        """Say why not to wait for the engine any longer, if so."""
+        """Return an error if the engine is silent or the deadline passed."""
         if not self._reachable() or self._clock.now() > job.deadline:
             return _GivenUpError(
-                f"Engine {self.info.id} went silent during the answer."
+                f"Engine {self.info.id} stopped responding during the answer."
             )
         return None
 
@@ -414,7 +421,11 @@
         await self._steps.reach(step, wire.Phase.BEFORE)
 
     def _accept(self, stream: _Stream, chunk: targets.Chunk) -> bool:
-        """Check a chunk's stamp and number; False drops a repeated one."""
+        """Check the source and the number of a chunk.
+
+        Returns False for a chunk of another stream or a repeated one, which
+        is dropped.
+        """
         request = stream.job.request
         if chunk.stream_id != request.stream_id:
             self._metrics.count("chunks_dropped", reason="other_stream")
@@ -425,8 +436,9 @@
         )
         if wrong:
             raise wire.WrongAdapterError(
-                f"Asked for {request.adapter}, the engine answered from "
-                f"{chunk.adapter}. The answer was dropped."
+                f"The request was for {request.adapter}, but the engine "
+                f"answered from {chunk.adapter}, incarnation "
+                f"{chunk.incarnation}. The answer was dropped."
             )
         if chunk.number <= stream.last_number:
             self._metrics.count("chunks_dropped", reason="repeated")
@@ -443,18 +455,18 @@
         entry = self._session.view.adapter_by_id.get(adapter)
         if entry is None or version not in entry.value.versions:
             raise wire.WithdrawnError(
-                f"{job.adapter} was withdrawn while the request waited. "
-                "Ask for a version that stands."
+                f"{job.adapter} was withdrawn while the request was waiting. "
+                "Request an available version."
             )
 
     def _settle(self, stream: _Stream) -> None:
-        """Unpin what surely ended; park or doubt what may go on."""
+        """Release a run; if it may continue, schedule its cancellation."""
         self._running -= 1
         name = stream.job.adapter
         now = self._clock.now()
         self._state.used_at_by_name[name] = now
         if stream.sent and not stream.ended:
-            # The run may go on: its reader may be back to resume it.
+            # The run may continue, and its caller may resume the stream.
             self._residents.doubt(name, stream.incarnation, now)
             stream_id = stream.job.request.stream_id
             self._parked_by_stream[stream_id] = asyncio.create_task(
@@ -494,8 +506,8 @@
 
     def _not_owner(self) -> wire.NotOwnerError:
         return wire.NotOwnerError(
-            f"This instance does not own {self.info.id} now. Look up the "
-            "owner and ask there.",
+            f"This instance does not own {self.info.id}. Look up the owner "
+            "and send the request there.",
             retry_after_s=0.5,
         )
 
@@ -514,9 +526,12 @@
                 report = await self._engine.report()
                 self._take_report(report, asked_at)
             except wire.ServingError as error:
-                logging.debug("place: No report. %s", error.message)
+                logging.debug(
+                    "place: Could not read the engine report. %s",
+                    error.message,
+                )
             except Exception:
-                logging.exception("place: A report broke.")
+                logging.exception("place: Failed to process a report.")
             await self._clock.sleep(self._settings.report_interval_s)
 
     def _take_report(
@@ -526,7 +541,7 @@
         as_of = asked_at - report.age_s
         if self._residents.believe(report, as_of, now):
             logging.info(
-                "place: Engine %s is incarnation %s.",
+                "place: Engine %s has the new incarnation %s.",
                 self.info.id,
                 report.incarnation,
             )
@@ -547,7 +562,7 @@
 
 
 def _identity(request: _jobs.RunRequest) -> str:
-    """Return what a request shares with its repeats at any engine."""
+    """Return an id that is equal for all repeats of a request."""
     prompt = request.prompt
     return quarantine.identity(
         request.payer,
--- a/libs/placement/src/bergamotsail/placement/_fair_queue.py
+++ b/libs/placement/src/bergamotsail/placement/_fair_queue.py
@@ -1,4 +1,4 @@
-"""Waiting jobs, shared fairly between members."""
+"""A weighted fair queue of waiting jobs."""
 
 import collections
 import collections.abc
@@ -10,8 +10,9 @@
     """Weighted fair queueing by member, then by class, then by age.
 
     Each member has a virtual time that grows by ``1 / weight`` with every
-    job taken. The member furthest behind goes first. One that was idle
-    starts level with the others, and saves nothing up.
+    job taken, and the member with the lowest virtual time is served first.
+    After an idle period, a member's virtual time is advanced to the current
+    one, so that it gets no credit for the time it was idle.
     """
 
     def __init__(self) -> None:
@@ -29,18 +30,18 @@
             yield from list(jobs)
 
     def waiting_of(self, member: str) -> int:
-        """Return how many jobs of a member wait."""
+        """Return the number of a member's waiting jobs."""
         return len(self._jobs_by_member.get(member, ()))
 
     def longest_member(self) -> str:
-        """Return the member with most jobs waiting."""
+        """Return the member with the most waiting jobs."""
         return max(
             self._jobs_by_member,
             key=lambda member: len(self._jobs_by_member[member]),
         )
 
     def newest_of(self, member: str) -> _jobs.Job:
-        """Return the job of a member that came last."""
+        """Return the latest job of a member."""
         return self._jobs_by_member[member][-1]
 
     def put(self, job: _jobs.Job) -> None:
@@ -52,7 +53,7 @@
         self._jobs_by_member[member].append(job)
 
     def remove(self, job: _jobs.Job) -> None:
-        """Remove a job if it still waits."""
+        """Remove a job if it is still waiting."""
         jobs = self._jobs_by_member.get(job.request.payer, [])
         if job in jobs:
             jobs.remove(job)
--- a/libs/placement/src/bergamotsail/placement/_jobs.py
+++ b/libs/placement/src/bergamotsail/placement/_jobs.py
@@ -1,4 +1,4 @@
-"""Requests as an owner sees them."""
+"""Messages, settings and jobs of engine owners."""
 
 import asyncio
 import dataclasses
@@ -9,18 +9,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementSettings:
-    """How owners place adapters.
+    """Settings of the engine owners.
 
     Args:
-        policy: name of the eviction policy.
+        policy: name of the load and eviction policy.
         stall_weight: 0 favours full batches, 1 favours short load stalls.
-        max_queue: waiting requests for each engine, over all members.
-        report_interval_s: how often an engine's report is read.
-        min_residence_s: an adapter stays at least so long, so that
+        max_queue: maximum number of waiting requests for each engine, over
+            all members.
+        report_interval_s: interval between reads of an engine's report.
+        min_residence_s: minimum time before an adapter is evicted, so that
             changing popularity does not cause thrashing.
-        half_life_s: fading of the use counts.
-        drain_after_s: a wait after which a busy adapter makes room.
-        orphan_grace_s: how long a run outlives the loss of its reader.
+        half_life_s: half-life of the use counts.
+        drain_after_s: wait after which a busy adapter is drained.
+        orphan_grace_s: how long a run continues after its reader is lost.
         load_retries: failed loads after which waiting requests fail.
     """
 
@@ -37,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunRequest:
-    """An entry asks an owner to run a prompt on its target.
+    """Ask an owner to run a prompt on its target.
 
     Args:
-        adapter: as ``adapter@version``; never another.
-        payer: the member whose share pays for the run.
+        adapter: as ``adapter@version``; no other version may answer.
+        payer: the member whose share is charged for the run.
         left_s: seconds until the deadline.
-        resume_after: number of the last chunk held, to resume a stream.
+        resume_after: number of the last chunk received, to resume a stream.
         incarnation: of the engine that holds the stream to resume.
     """
 
@@ -61,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """An entry's caller went away."""
+    """Cancel a run whose caller disconnected."""
 
     target: str
     stream_id: str
@@ -69,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Done:
-    """A reply without content."""
+    """An empty reply."""
 
 
 RUN = wire.Call("run", RunRequest, targets.Chunk, streams=True)
@@ -81,12 +82,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A waiting request at the owner.
+    """A request in the queue of an engine owner.
 
     Args:
         owner: the member that the adapter belongs to.
         deadline: on the owner's clock.
-        ready: done when the job may run; its adapter is then pinned.
+        was_resident: whether its adapter was resident when it was queued.
+        ready: resolved with its stream when the job is dispatched; its
+            adapter is then pinned.
     """
 
     request: RunRequest
@@ -104,5 +107,5 @@
 
     @property
     def class_weight(self) -> float:
-        """How much its class counts."""
+        """Weight of its entry class."""
         return CLASS_WEIGHT.get(self.request.entry_class, 1.0)
--- a/libs/placement/src/bergamotsail/placement/_loads.py
+++ b/libs/placement/src/bergamotsail/placement/_loads.py
@@ -1,4 +1,4 @@
-"""Which adapters an owner loads and evicts, and the orders for it."""
+"""Chooses and executes the adapter loads and evictions of one engine."""
 
 import collections.abc
 import contextlib
@@ -15,21 +15,23 @@
 
 TURN_WAIT_S = 0.25
 TURN_TIMEOUT_S = 2.0
+# Weight of the latest load in the moving average of load durations.
 SMOOTHING = 0.2
 MOST_PENDING = 32
+# Minimum use count of an adapter that its member still uses.
 STILL_USED = 0.5
 LOAD_BACKOFF_S = 0.5
 DEFAULT_STORE = "default"
 
 
 class Loads:
-    """Loads what waits and evicts for it, one order at a time.
+    """Loads the adapters of waiting jobs and evicts others, one at a time.
 
     Args:
-        make_order: gives an order that is sent only while the epoch owns
+        make_order: returns an order that is sent only while the epoch owns
             the engine.
         may_start: whether new orders may be started.
-        dispatch: starts jobs once their adapter is resident.
+        dispatch: starts waiting jobs whose adapter is resident.
     """
 
     def __init__(
@@ -51,30 +53,32 @@
         self._retry_at_by_name: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Load one adapter after another, as long as any waits."""
+        """Load adapters for waiting jobs until cancelled."""
         while True:
             self._state.work.clear()
             try:
                 loaded = await self._load_next()
             except wire.ServingError as error:
-                logging.info("place: No load. %s", error.message)
+                logging.info(
+                    "place: Could not load an adapter. %s", error.message
+                )
                 loaded = False
             except Exception:
-                logging.exception("place: A load broke.")
+                logging.exception("place: Unexpected error during a load.")
                 loaded = False
             if loaded:
                 continue
             await wire.wait_event(self._state.work, LOAD_BACKOFF_S)
 
     def pending(self) -> tuple[str, ...]:
-        """Return adapters that wait here for their load, or have it."""
+        """Return adapters with waiting jobs that are not usable yet."""
         residents = self._state.residents
         names = {job.adapter for job in self._state.queue}
         waiting = [n for n in sorted(names) if not residents.usable(n)]
         return tuple(waiting[:MOST_PENDING])
 
     def cheapest(self) -> float:
-        """Return the use of what would be evicted, 0 for a free slot."""
+        """Return the lowest use count of a resident, 0 if a slot is free."""
         report = self._state.report
         held = self._state.residents.by_name
         if report is None or len(held) < report.adapter_slots:
@@ -112,7 +116,7 @@
         )
 
     async def _load_next(self) -> bool:
-        """Load the adapter most worth it; False when there is nothing."""
+        """Load the adapter with the best score; False if none was loaded."""
         if not self._may_start() or self._state.report is None:
             return False
         candidates = self._candidates()
@@ -143,7 +147,7 @@
     def _best_by_member(
         self, candidates: list[_policy.Candidate]
     ) -> dict[str, _policy.Candidate]:
-        """Return the load that each member has most worth of."""
+        """Return the load with the best score of each member."""
         by_member: dict[str, list[_policy.Candidate]] = {}
         for candidate in candidates:
             by_member.setdefault(candidate.owner, []).append(candidate)
@@ -153,7 +157,7 @@
         }
 
     async def _load_on_turn(self, member: str, asked_at: float) -> bool:
-        """Choose again, as the queue moved on, and load."""
+        """Choose the adapter again, as the queue may have changed; load it."""
         candidates = [c for c in self._candidates() if c.owner == member]
         if not candidates:
             return False
@@ -169,7 +173,7 @@
             return await self._load(wanted, asked_at)
 
     def _slot_for(self, wanted: _policy.Candidate) -> str | None:
-        """Return the adapter to evict, "" for a free slot, None for none."""
+        """Return the adapter to evict, "" for a free slot, None if neither."""
         assert self._state.report is not None
         if (
             len(self._state.residents.by_name)
@@ -209,10 +213,10 @@
     def _may_displace(
         self, wanted: _policy.Candidate, victim: _policy.Candidate
     ) -> bool:
-        """Whether one member's adapter may go for another's.
+        """Whether *victim* may be evicted for *wanted*.
 
-        A member at its share of the slots makes room among its own, as
-        long as the other member still uses what it holds.
+        A member that has its share of the slots may evict adapters of other
+        members only if they are no longer used.
         """
         if wanted.owner == victim.owner or not victim.owner:
             return True
@@ -226,10 +230,10 @@
         return len(held) < self._slots_of(wanted.owner)
 
     def _slots_of(self, member: str) -> int:
-        """Return the slots that a member may take from others.
+        """Return how many slots a member may hold by evicting others.
 
-        That is its ``slot_share``, or without one its part by weight among
-        the members that use this engine.
+        This is its ``slot_share`` of the slots, by default in proportion to
+        its weight among the members that use this engine.
         """
         assert self._state.report is not None
         slots = self._state.report.adapter_slots
@@ -246,7 +250,10 @@
         return max(1, round(share * slots))
 
     def _make_room(self, wanted: _policy.Candidate) -> None:
-        """Let the least valuable busy adapter run dry for an old wait."""
+        """Drain the least valuable busy adapter if *wanted* waits too long.
+
+        At most one adapter is drained at a time.
+        """
         draining = [
             r for r in self._state.residents.by_name.values() if r.draining
         ]
@@ -299,9 +306,9 @@
         resident = self._state.residents.by_name.get(name)
         if resident is None or resident.pinned:
             return False
-        # From here on no run may be dispatched to it.
+        # Prevents the dispatch of further runs to it.
         resident.confirmed = False
-        self._decide("Evict", name, f"least worth, for {wanted.name}")
+        self._decide("Evict", name, f"lowest keep score, for {wanted.name}")
         await self._state.steps.reach(wire.Step.EVICT, wire.Phase.BEFORE)
         try:
             await self._state.engine.unload(self._order(), name)
@@ -338,7 +345,7 @@
         now = self._state.clock.now()
         self._state.residents.loaded(name, now)
         self._state.used_at_by_name[name] = now
-        # The wait for the turn counts: it is what a waiting request sees.
+        # Includes the wait for the turn, as waiting requests experience it.
         spent_s = now - asked_at
         self._state.load_s += (spent_s - self._state.load_s) * SMOOTHING
         self._failures_by_name.pop(name, None)
@@ -354,7 +361,7 @@
         return entry.value.versions.get(version)
 
     def _load_failed(self, name: str, error: wire.ServingError) -> None:
-        """Back off, and fail those waiting after some tries."""
+        """Back off, and fail the waiting jobs after too many failures."""
         failures = self._failures_by_name.get(name, 0) + 1
         self._failures_by_name[name] = failures
         backoff_s = LOAD_BACKOFF_S * 2**failures
--- a/libs/placement/src/bergamotsail/placement/_owners.py
+++ b/libs/placement/src/bergamotsail/placement/_owners.py
@@ -1,4 +1,4 @@
-"""All engines that this daemon owns."""
+"""The owners of all engines that this daemon owns."""
 
 import asyncio
 import collections.abc
@@ -19,12 +19,12 @@
 
 
 class Owners:
-    """Starts and stops an engine owner as ownership comes and goes.
+    """Starts and stops engine owners as the ownership changes.
 
     It is an async context manager.
 
     Args:
-        make_engine: gives the engine at an address.
+        make_engine: returns a client of the engine at an address.
     """
 
     def __init__(
@@ -59,22 +59,22 @@
         await asyncio.gather(*pending, return_exceptions=True)
 
     def serve(self, server: wire.PeerServer) -> None:
-        """Answer entries that route to engines owned here."""
+        """Register the handlers of the calls from entries."""
         server.serve(_jobs.RUN, self.run)
         server.serve(_jobs.CANCEL, self.on_cancel)
 
     def statuses(self) -> tuple[control.TargetStatus, ...]:
-        """Describe all owned targets."""
+        """Return the status of each owned target."""
         return tuple(owner.status() for owner in self.by_target.values())
 
     def active(self) -> int:
-        """Runs that go on, over all owned targets."""
+        """Return the number of runs in progress on all owned targets."""
         return sum(owner.active for owner in self.by_target.values())
 
     async def run(
         self, request: _jobs.RunRequest
     ) -> collections.abc.AsyncIterator[targets.Chunk]:
-        """Run on an engine owned here; never passed on."""
+        """Run a request on an owned engine; it is never forwarded."""
         chunks = self._owner(request.target).run(request)
         try:
             async for chunk in chunks:
@@ -83,7 +83,7 @@
             await chunks.aclose()
 
     async def on_cancel(self, request: _jobs.CancelRequest) -> _jobs.Done:
-        """Cancel a run on an engine owned here."""
+        """Cancel a run on an owned engine."""
         await self._owner(request.target).cancel(request.stream_id)
         return _jobs.Done()
 
@@ -97,7 +97,7 @@
         return owner
 
     def view_changed(self) -> None:
-        """Follow the ownership that the view shows."""
+        """Start and stop owners to match the ownership in the view."""
         view = self._session.view
         for target, owner in list(self.by_target.items()):
             ownership = view.ownership_by_target.get(target)
@@ -108,7 +108,7 @@
                 self._start(ownership)
 
     def hand_over(self, names: collections.abc.Iterable[str]) -> None:
-        """Give targets back; running streams go on."""
+        """Start to release targets; running streams continue."""
         for target in names:
             if target in self.by_target and target not in self._releasing:
                 task = asyncio.create_task(self._release(target))
@@ -118,7 +118,7 @@
                 )
 
     async def hand_over_all(self) -> None:
-        """Give all targets back and wait until that is committed."""
+        """Release all targets and wait until the releases are committed."""
         self.hand_over(list(self.by_target))
         while self._releasing:
             await asyncio.wait(list(self._releasing.values()))
@@ -139,12 +139,16 @@
         )
         self.by_target[ownership.target] = owner
         self._keep(owner.__aenter__())
-        logging.info("place: Own %s with epoch %d.", info.id, ownership.epoch)
+        logging.info(
+            "place: Acquired ownership of %s with epoch %d.",
+            info.id,
+            ownership.epoch,
+        )
 
     def _stop(self, target: str) -> None:
         owner = self.by_target.pop(target)
         self._keep(owner.__aexit__(None, None, None))
-        logging.info("place: Gave up %s.", target)
+        logging.info("place: Released ownership of %s.", target)
 
     def _keep(self, work: collections.abc.Coroutine) -> None:
         task = asyncio.create_task(work)
--- a/libs/placement/src/bergamotsail/placement/_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_policy.py
@@ -1,4 +1,4 @@
-"""What to load next and what to evict for it."""
+"""Policies that choose which adapter to load and which one to evict."""
 
 import abc
 import collections.abc
@@ -13,11 +13,11 @@
 
     Args:
         owner: the member it belongs to.
-        waiting: requests that wait for it.
+        waiting: number of requests that wait for it.
         urgency: sum of the class weights of those requests.
-        oldest_wait_s: how long the oldest has waited.
-        use: faded count of its uses.
-        idle_s: since it was last used.
+        oldest_wait_s: how long the oldest of them has waited.
+        use: decayed count of its uses.
+        idle_s: time since it was last used.
     """
 
     name: str
@@ -30,15 +30,15 @@
 
 
 class Policy(abc.ABC):
-    """Orders loads and evictions. Pins are not its business."""
+    """Ranks loads and evictions. Callers exclude pinned adapters."""
 
     @abc.abstractmethod
     def load_score(self, candidate: Candidate) -> float:
-        """Return how much a load is worth; the highest goes first."""
+        """Return the value of a load; the highest is loaded first."""
 
     @abc.abstractmethod
     def keep_score(self, candidate: Candidate) -> float:
-        """Return how much keeping is worth; the lowest is evicted."""
+        """Return the value of keeping an adapter; the lowest is evicted."""
 
     def next_load(
         self, candidates: collections.abc.Sequence[Candidate]
@@ -54,12 +54,12 @@
 
 
 class ValuePolicy(Policy):
-    """Loads what most requests wait for; keeps what is used most.
+    """Loads the most awaited adapter and keeps the most used ones.
 
     Args:
-        stall_weight: 1 weighs the oldest wait most, so that none stalls
-            long; 0 weighs the number of waiting requests, so that each
-            load fills batches.
+        stall_weight: weight of the oldest wait. With 1 it limits the longest
+            stall; with 0 only the waiting requests count, which fills
+            batches.
     """
 
     def __init__(self, stall_weight: float) -> None:
@@ -84,15 +84,15 @@
 
 
 def policy_named(name: str, stall_weight: float) -> Policy:
-    """Return the policy of a name.
+    """Return the policy with a name.
 
     Raises:
-        BadRequestError: there is none of this name.
+        BadRequestError: the name is unknown.
     """
     if name == "value":
         return ValuePolicy(stall_weight)
     if name == "least_recent":
         return LeastRecentPolicy()
     raise wire.BadRequestError(
-        f"There is no policy {name!r}. Use value or least_recent."
+        f"Unknown placement policy {name!r}. Use value or least_recent."
     )
--- a/libs/placement/src/bergamotsail/placement/_residents.py
+++ b/libs/placement/src/bergamotsail/placement/_residents.py
@@ -1,4 +1,4 @@
-"""What is resident in an engine, and what may not be evicted."""
+"""Tracks the resident adapters of an engine and which may be evicted."""
 
 import dataclasses
 
@@ -10,12 +10,12 @@
     """An adapter version in a slot.
 
     Args:
-        confirmed: the engine confirmed it in its present incarnation.
-        changed_at: reports older than this say nothing of it.
-        pins: runs of ours that use it.
-        doubt_since: an event after which it may be in use unseen; None
-            when there is no doubt.
-        draining: it takes no new run, to make room.
+        confirmed: the current incarnation of the engine confirmed it.
+        changed_at: reports of an earlier state are ignored.
+        pins: number of this owner's runs that use it.
+        doubt_since: time since which runs unknown to this owner may use it;
+            None if there are none.
+        draining: it takes no new runs, so that it can be evicted.
     """
 
     name: str
@@ -27,20 +27,20 @@
 
     @property
     def pinned(self) -> bool:
-        """Whether it may be serving."""
+        """Whether a run may be using it."""
         return self.pins > 0 or self.doubt_since is not None
 
 
 class Residents:
-    """The slots of one engine, as far as its owner can know.
+    """The slots of one engine as known to its owner.
 
-    A report speaks of a moment in the past. It is believed about an
-    adapter only if that moment lies after the last event we know of.
+    A report shows a past state. It is applied to an adapter only if that
+    state is later than the adapter's last known change.
 
     Args:
-        now: the moment of taking over; whatever is found resident may be
-            serving runs of an earlier owner until a later report says
-            otherwise.
+        now: when the ownership began. Adapters found resident may be serving
+            runs of an earlier owner until a later report shows that they are
+            idle.
     """
 
     def __init__(self, now: float) -> None:
@@ -60,7 +60,7 @@
         )
 
     def confirmed(self) -> tuple[str, ...]:
-        """Return the adapter versions that surely are resident."""
+        """Return the adapter versions confirmed as resident."""
         return tuple(r.name for r in self.by_name.values() if r.confirmed)
 
     def stop_draining(self) -> None:
@@ -73,45 +73,45 @@
         self.by_name[name].pins += 1
 
     def unpin(self, name: str, incarnation: str | None) -> None:
-        """Undo a pin, unless its incarnation is gone."""
+        """Undo a pin, unless the engine has been restarted since."""
         resident = self.by_name.get(name)
         if resident is not None and incarnation == self.incarnation:
             resident.pins = max(0, resident.pins - 1)
 
     def doubt(self, name: str, incarnation: str | None, now: float) -> None:
-        """Keep an adapter: a run on it may go on unseen."""
+        """Keep an adapter from eviction, as a run on it may continue."""
         resident = self.by_name.get(name)
         if resident is not None and incarnation == self.incarnation:
             resident.doubt_since = now
 
     def loading(self, name: str, now: float) -> None:
-        """Reserve a slot before a load is ordered."""
+        """Reserve a slot before the load order is sent."""
         self.by_name[name] = Resident(name, False, now)
 
     def loaded(self, name: str, now: float) -> None:
-        """The engine confirmed a load."""
+        """Record that the engine confirmed a load."""
         self.by_name[name] = Resident(name, True, now)
         self._gone_at.pop(name, None)
 
     def not_loaded(self, name: str, now: float) -> None:
-        """The engine said that a load failed."""
+        """Record that the engine reported a failed load."""
         self.by_name.pop(name, None)
         self._gone_at[name] = now
 
     def unloaded(self, name: str, now: float) -> None:
-        """The engine confirmed an eviction."""
+        """Record that the engine confirmed an eviction."""
         self.by_name.pop(name, None)
         self._gone_at[name] = now
 
     def uncertain(self, name: str, now: float) -> None:
-        """An order's outcome is unknown; a later report will tell."""
+        """Mark an adapter as unconfirmed until a later report shows it."""
         resident = self.by_name.get(name)
         if resident is not None:
             resident.confirmed = False
             resident.changed_at = now
 
     def restarted(self, incarnation: str, now: float) -> None:
-        """The engine is a new incarnation, and empty."""
+        """Reset the slots for a new incarnation of the engine."""
         if self.incarnation is not None:
             self._past_incarnations.add(self.incarnation)
             self._taken_over_at = now
@@ -122,9 +122,10 @@
     def believe(
         self, report: targets.EngineReport, as_of: float, now: float
     ) -> bool:
-        """Take a report that shows the engine as of *as_of*.
+        """Apply a report of the engine's state at *as_of*.
 
-        Returns whether it showed a new incarnation.
+        Returns whether it showed a new incarnation. A report of an earlier
+        incarnation is ignored.
         """
         if report.incarnation in self._past_incarnations:
             return False
@@ -150,8 +151,8 @@
             self.by_name[name] = resident
         if as_of > resident.changed_at:
             resident.confirmed = True
-        # Only a report of no run at all ends a doubt: counts of a past
-        # moment can't be set against the pins of this one.
+        # Only a report without any run clears the doubt: a count of runs at
+        # a past time can't be compared with the current pins.
         idle = report.active_by_resident.get(name, 0) == 0
         in_doubt = resident.doubt_since is not None
         if in_doubt and as_of > resident.doubt_since and idle:
--- a/libs/placement/src/bergamotsail/placement/_state.py
+++ b/libs/placement/src/bergamotsail/placement/_state.py
@@ -1,4 +1,4 @@
-"""What the parts of an engine's owner share."""
+"""State shared by the components of an engine owner."""
 
 import asyncio
 import dataclasses
@@ -17,13 +17,13 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class EngineState:
-    """One engine as its owner knows it, and what its owner works with.
+    """The state of one engine and the collaborators of its owner.
 
     Args:
         report: the engine's latest report.
-        load_s: what a load took lately, in seconds.
-        work: set when there may be something to load.
-        ordering: held while a load or an eviction is under way.
+        load_s: moving average of the load duration in seconds.
+        work: set when an adapter may have to be loaded.
+        ordering: held during a load or an eviction.
     """
 
     info: control.TargetInfo
