--- a/libs/placement/src/bergamotsail/placement/_counter.py
+++ b/libs/placement/src/bergamotsail/placement/_counter.py
@@ -12,13 +12,13 @@
 
     def __init__(self, half_life_s: float, most: int = 5_000) -> None:
         self._half_life_s = half_life_s
-        self._most = most
+        self._max_keys = most
         self._count_by_key: dict[str, tuple[float, float]] = {}
 
     def add(self, key: str, now: float, weight: float = 1.0) -> None:
         """Count an event with a weight."""
         self._count_by_key[key] = (self.value(key, now) + weight, now)
-        if len(self._count_by_key) > self._most:
+        if len(self._count_by_key) > self._max_keys:
             self._drop_half(now)
 
     def value(self, key: str, now: float) -> float:
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -15,23 +15,23 @@
 
 # Concurrent loads that an engine accepts according to its protocol; it
 # refuses further ones.
-MOST_IN_TRANSIT = 4
+MAX_IN_TRANSIT = 4
 # Minimum cost of running on a resident engine before the adapter is loaded on
 # another one: twice the p50 of a load from a local copy with its orders
 # (0.05 s).
-SPREAD_COST_S = 0.1
+MIN_SPREAD_COST_S = 0.1
 # Minimum gain from loading the adapter on another engine; estimates are no
 # more precise than this.
-SPREAD_GAIN_S = 0.03
+MIN_SPREAD_GAIN_S = 0.03
 # A load that is overdue by more than this is not waited for if the adapter is
 # resident elsewhere.
-LOAD_LATE_S = 0.3
+MAX_LOAD_OVERDUE_S = 0.3
 # Number of least loaded engines considered for a load, besides those with a
 # copy. The cost of a decision is proportional to it, and more engines gain
 # nothing since the least loaded ones are alike.
 MOST_WEIGHED = 10
 # Maximum age of the cached order of engines by load.
-ORDER_AGE_S = 0.02
+MAX_SORT_AGE_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
         self._policy = policy
         self._settings = settings
         self._is_current = is_current
-        self._order_by_pool: dict[str, tuple[float, list[Holding]]] = {}
+        self._sorted_by_pool: dict[str, tuple[float, list[Holding]]] = {}
 
     def decide(
         self,
@@ -126,8 +126,10 @@
                 return Wait(False)
             return self._load(wish, wanted, now, float("inf")) or Wait(False)
         cost_s, _, there = best
-        if may_load and self._settings.spread and cost_s > SPREAD_COST_S:
-            further = self._further_copy(wish, resident, wanted, now, cost_s)
+        if may_load and self._settings.spread and cost_s > MIN_SPREAD_COST_S:
+            further = self._additional_copy(
+                wish, resident, wanted, now, cost_s
+            )
             if further is not None:
                 return further
         return Run(there.info.id)
@@ -137,14 +139,16 @@
         best = min(
             (
                 (self._policy.run_cost_s(holding, wish, now), number, holding)
-                for number, holding in enumerate(self._ordered(wish, now))
+                for number, holding in enumerate(
+                    self._least_loaded_first(wish, now)
+                )
                 if holding.can_take(wish)
             ),
             default=None,
         )
         return Wait(False) if best is None else Run(best[2].info.id)
 
-    def _further_copy(
+    def _additional_copy(
         self,
         wish: Wish,
         resident: list[tuple[Holding, _holding.Slot]],
@@ -157,12 +161,12 @@
         While a load of the adapter that is not overdue is in progress, no
         further one is started.
         """
-        limit_s = cost_s - SPREAD_GAIN_S
+        limit_s = cost_s - MIN_SPREAD_GAIN_S
         loading = [
             (holding, slot)
             for holding, slot in resident
             if slot.state is State.LOADING
-            and now <= slot.ready_at + LOAD_LATE_S
+            and now <= slot.ready_at + MAX_LOAD_OVERDUE_S
         ]
         for holding, slot in loading:
             left_s = max(0.0, slot.ready_at - now)
@@ -186,40 +190,40 @@
         cost exceeds *limit_s*.
         """
         best: tuple[float, int, Holding] | None = None
-        best_room: tuple[_holding.AdapterName | None] | None = None
-        for number, holding in enumerate(self._weighed(wish, now)):
+        best_slot: tuple[_holding.AdapterName | None] | None = None
+        for number, holding in enumerate(self._load_candidates(wish, now)):
             if wish.name in holding.slot_by_name or not holding.can_take(wish):
                 continue
-            room = self._room(holding, wanted, now)
+            room = self._find_slot(holding, wanted, now)
             cost_s = self._policy.load_cost_s(
                 holding, wish, now, room is not None
             )
             if best is None or (cost_s, number) < best[:2]:
-                best, best_room = (cost_s, number, holding), room
-        if best is None or best_room is None or best[0] > limit_s:
+                best, best_slot = (cost_s, number, holding), room
+        if best is None or best_slot is None or best[0] > limit_s:
             return None
-        return Load(best[2].info.id, best_room[0])
+        return Load(best[2].info.id, best_slot[0])
 
-    def _weighed(
+    def _load_candidates(
         self, wish: Wish, now: float
     ) -> collections.abc.Iterator[Holding]:
         """Yield the least loaded engines and those with a copy."""
-        ordered = self._ordered(wish, now)
+        ordered = self._least_loaded_first(wish, now)
         near = ordered[:MOST_WEIGHED]
         yield from near
         for holding in ordered[MOST_WEIGHED:]:
             if holding.has_copy(wish.name):
                 yield holding
 
-    def _ordered(self, wish: Wish, now: float) -> list[Holding]:
+    def _least_loaded_first(self, wish: Wish, now: float) -> list[Holding]:
         """Return a pool's engines, the least loaded first.
 
-        The order may be ORDER_AGE_S old. A pool of at most MOST_WEIGHED
+        The order may be MAX_SORT_AGE_S old. A pool of at most MOST_WEIGHED
         engines is not sorted.
         """
-        at, ordered = self._order_by_pool.get(wish.pool, (0.0, []))
+        at, ordered = self._sorted_by_pool.get(wish.pool, (0.0, []))
         there = self._holding_by_target
-        if ordered and now - at <= ORDER_AGE_S:
+        if ordered and now - at <= MAX_SORT_AGE_S:
             if all(there.get(h.info.id) is h for h in ordered):
                 return ordered
         ordered = [
@@ -229,7 +233,7 @@
         ]
         if len(ordered) > MOST_WEIGHED:
             ordered.sort(key=lambda holding: self._load_of(holding, now))
-        self._order_by_pool[wish.pool] = (now, ordered)
+        self._sorted_by_pool[wish.pool] = (now, ordered)
         return ordered
 
     def _load_of(self, holding: Holding, now: float) -> float:
@@ -238,7 +242,7 @@
             return float("inf")
         return self._policy.busy_cost_s(holding, now)
 
-    def _room(
+    def _find_slot(
         self,
         holding: Holding,
         wanted: collections.abc.Container[_holding.AdapterName],
@@ -248,7 +252,7 @@
 
         ``(None,)`` if a slot is free, None if no load can start now.
         """
-        if not holding.may_load or holding.in_transit() >= MOST_IN_TRANSIT:
+        if not holding.may_load or holding.in_transit() >= MAX_IN_TRANSIT:
             return None
         if len(holding.slot_by_name) < holding.capacity:
             return (None,)
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -17,19 +17,19 @@
 # Maximum lag of reports behind the engine's state.
 REPORT_LAG_S = 0.3
 SETTLE_RETRY_S = 0.3
-MOST_SETTLE_RETRY_S = 1.5
+MAX_SETTLE_RETRY_S = 1.5
 COPY_LOAD_S = 0.025
 STORE_LOAD_S = 0.25
-CONFIRM_S = 0.02
-MOST_CONFIRMS = 60
-MOST_RESENDS = 3
-MOST_LOST_CONFIRMS = 2
+CONFIRM_INTERVAL_S = 0.02
+MAX_CONFIRM_ATTEMPTS = 60
+MAX_SEND_ATTEMPTS = 3
+MAX_LOST_CONFIRMS = 2
 MODEL_POLL_S = 0.2
 # Timeout of a base model load, as a multiple of its usual duration.
-MODEL_LOAD_TIMES = 2.5
+MODEL_LOAD_TIMEOUT_FACTOR = 2.5
 # Fencing numbers reserved for each term. Each incarnation of an engine within
 # the term takes the next one.
-FENCES_OF_TERM = 1_000
+FENCES_PER_TERM = 1_000
 
 State = _holding.SlotState
 Order = targets.OrderOutcome
@@ -137,11 +137,14 @@
             return
         now = self._clock.now()
         since_s = now - self._asked_at
-        if self.holding.awaits_word(now) and since_s > REPORT_LAG_S:
+        if (
+            self.holding.may_have_unreported_runs(now)
+            and since_s > REPORT_LAG_S
+        ):
             self._asked_at = now
-            self._run(self._ask_runs)
+            self._run(self._poll_runs)
 
-    async def _ask_runs(self) -> None:
+    async def _poll_runs(self) -> None:
         with contextlib.suppress(wire.ServingError):
             self._compare_runs(await self._report())
             self._changed()
@@ -192,7 +195,7 @@
                 self._log("report_failed", error=error.message)
                 self.holding.add_fault(self._clock.now())
                 await self._clock.sleep(retry_s)
-                retry_s = min(retry_s * 2, MOST_SETTLE_RETRY_S)
+                retry_s = min(retry_s * 2, MAX_SETTLE_RETRY_S)
                 continue
             recent = self._clock.now() - self._ordered_at < REPORT_LAG_S
             if report.busy or recent:
@@ -200,11 +203,11 @@
                 continue
             if self.holding.shows_new_start(report):
                 self._log("new_start", sequence=report.sequence)
-                self.holding.begin_anew()
+                self.holding.reset()
                 self._starts += 1
             if not report.models and await self._load_model(report):
                 continue
-            self.holding.take_report(report, self._clock.now())
+            self.holding.apply_report(report, self._clock.now())
             self._asked_at = self._clock.now()
             self._compare_runs(report)
             self._log(
@@ -213,11 +216,11 @@
                 adapters=len(report.adapters),
                 pending=len(report.pending),
             )
-            self._watch_pending()
+            self._confirm_pending()
             self._changed()
             return
 
-    def _watch_pending(self) -> None:
+    def _confirm_pending(self) -> None:
         for name, slot in self.holding.slot_by_name.items():
             if slot.state is State.DOUBTFUL:
                 self._run(self._confirm, name, slot)
@@ -246,7 +249,9 @@
         order = self._order((model.name, ""), None, None)
         outcome = await self._send(self._engine.load, order)
         self._log("load_model", model=model.name, outcome=str(outcome))
-        gives_up_at = self._clock.now() + MODEL_LOAD_TIMES * model.load_s
+        gives_up_at = (
+            self._clock.now() + MODEL_LOAD_TIMEOUT_FACTOR * model.load_s
+        )
         while outcome is not None and self._clock.now() < gives_up_at:
             await self._clock.sleep(MODEL_POLL_S)
             try:
@@ -306,14 +311,16 @@
                 return
             if victim is not None:
                 out = self._order(victim, None, self.holding.sequence)
-                if not self._accepted(
+                if not self._apply_outcome(
                     await self._send(self._engine.unload, out)
                 ):
                     return
                 if not self._still_planned(name, slot):
                     return
             order = self._order(name, slot.version, self.holding.sequence)
-            if not self._accepted(await self._send(self._engine.load, order)):
+            if not self._apply_outcome(
+                await self._send(self._engine.load, order)
+            ):
                 return
         await self._confirm(name, slot)
 
@@ -323,7 +330,7 @@
         holds = self.holding.slot_by_name.get(name) is slot
         return self.holding.known and holds
 
-    def _accepted(self, outcome: Order | None) -> bool:
+    def _apply_outcome(self, outcome: Order | None) -> bool:
         """Apply an order's outcome; reconcile unless it was accepted."""
         if outcome in (Order.STARTED, Order.HOLDS):
             self.holding.sequence += 1
@@ -340,7 +347,7 @@
         """Repeat a load order until the engine answers that it is loaded."""
         await self._clock.sleep(max(0.0, slot.ready_at - self._clock.now()))
         lost = 0
-        for _ in range(MOST_CONFIRMS):
+        for _ in range(MAX_CONFIRM_ATTEMPTS):
             if self.holding.slot_by_name.get(name) is not slot:
                 return
             if self._leads() and not self._gate_open():
@@ -355,7 +362,7 @@
                 # The order was lost. If it is executed late, it has no
                 # effect.
                 lost += 1
-                if lost <= MOST_LOST_CONFIRMS:
+                if lost <= MAX_LOST_CONFIRMS:
                     continue
             if outcome is Order.HOLDS:
                 slot.state = State.READY
@@ -367,7 +374,7 @@
                 self._log("not_confirmed", outcome=str(outcome))
                 self.settle()
                 return
-            await self._clock.sleep(CONFIRM_S)
+            await self._clock.sleep(CONFIRM_INTERVAL_S)
         self.settle()
 
     def _order(
@@ -399,7 +406,7 @@
         the engine's sequence number, so the second one no longer matches.
         """
         observe.count_message(self._metrics, "order")
-        for _ in range(MOST_RESENDS):
+        for _ in range(MAX_SEND_ATTEMPTS):
             if not self._gate_open():
                 return None
             self._ordered_at = self._clock.now()
@@ -416,8 +423,8 @@
     @property
     def _fence(self) -> int:
         """The fencing number of orders to this incarnation."""
-        starts = min(self._starts, FENCES_OF_TERM - 1)
-        return self._term * FENCES_OF_TERM + starts
+        starts = min(self._starts, FENCES_PER_TERM - 1)
+        return self._term * FENCES_PER_TERM + starts
 
     def _leads(self) -> bool:
         return self._gate.leads() and not self._stopped
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -22,7 +22,7 @@
 UNREACHABLE_AFTER_S = 2.0
 
 
-class _GivenUpError(wire.PeerLostError):
+class _WaitAbandonedError(wire.PeerLostError):
     """The owner stopped waiting; the engine may still be alive."""
 
 
@@ -84,7 +84,7 @@
         self._report_at = float("-inf")
         self._running = 0
         self._background = wire.Background()
-        self._parked_by_stream: dict[str, asyncio.Task] = {}
+        self._cancel_task_by_stream: dict[str, asyncio.Task] = {}
 
     async def __aenter__(self) -> "EngineOwner":
         self._background.start(self._read_reports, self._loads.run)
@@ -149,13 +149,13 @@
             async for chunk in self._chunks(stream):
                 yield chunk
         finally:
-            self._settle(stream)
+            self._finish_run(stream)
 
     async def cancel(self, stream_id: str) -> None:
         """Cancel a run whose caller disconnected."""
-        parked = self._parked_by_stream.pop(stream_id, None)
-        if parked is not None:
-            parked.cancel()
+        cancel_task = self._cancel_task_by_stream.pop(stream_id, None)
+        if cancel_task is not None:
+            cancel_task.cancel()
         await self._steps.reach(wire.Step.CANCEL, wire.Phase.BEFORE)
         await self._engine.cancel(self._order(), stream_id)
         await self._steps.reach(wire.Step.CANCEL, wire.Phase.AFTER)
@@ -163,17 +163,17 @@
     async def _admit(self, request: _jobs.RunRequest) -> _Stream:
         if self.handing_over or not self._owns():
             raise self._not_owner()
-        job = self._job(request)
+        job = self._make_job(request)
         if request.resume_after is not None:
             return self._resume(job)
-        self._check_room(job)
+        self._check_queue(job)
         self._state.uses.add(job.adapter, self._clock.now())
         self._queue.put(job)
         self._dispatch()
         self._state.work.set()
         try:
             async with asyncio.timeout_at(job.deadline):
-                return await self._dispatched(job)
+                return await self._wait_dispatched(job)
         except TimeoutError:
             raise wire.DeadlineError(
                 "The deadline passed while the request was waiting for "
@@ -181,16 +181,16 @@
                 retry_after_s=self._expected_wait_s(job),
             ) from None
 
-    async def _dispatched(self, job: _jobs.Job) -> _Stream:
+    async def _wait_dispatched(self, job: _jobs.Job) -> _Stream:
         """Wait until a job is dispatched; undo its queueing on failure."""
         try:
             return await job.ready
         except BaseException:
             self._queue.remove(job)
-            self._give_back(job)
+            self._undo_dispatch(job)
             raise
 
-    def _job(self, request: _jobs.RunRequest) -> _jobs.Job:
+    def _make_job(self, request: _jobs.RunRequest) -> _jobs.Job:
         adapter, version = targets.split_name(request.adapter)
         entry = self._session.view.adapter_by_id.get(adapter)
         if entry is None or version not in entry.value.versions:
@@ -217,9 +217,9 @@
                 "The engine was restarted, so this stream can't be resumed. "
                 "Send the request again."
             )
-        parked = self._parked_by_stream.pop(request.stream_id, None)
-        if parked is not None:
-            parked.cancel()
+        cancel_task = self._cancel_task_by_stream.pop(request.stream_id, None)
+        if cancel_task is not None:
+            cancel_task.cancel()
         if job.adapter in self._residents.by_name:
             self._residents.pin(job.adapter)
         self._running += 1
@@ -227,7 +227,7 @@
         stream.last_number = request.resume_after
         return stream
 
-    def _check_room(self, job: _jobs.Job) -> None:
+    def _check_queue(self, job: _jobs.Job) -> None:
         """Reject a request that would miss its deadline or overfill the queue.
 
         If the queue is full and another member has more waiting requests,
@@ -275,7 +275,7 @@
         )
         return self._state.load_s * before
 
-    def _give_back(self, job: _jobs.Job) -> None:
+    def _undo_dispatch(self, job: _jobs.Job) -> None:
         """Undo the dispatch of a job whose caller no longer waits.
 
         If a caller disconnects just as its job is dispatched, the adapter's
@@ -285,7 +285,7 @@
         if not ready.done():
             ready.cancel()
         elif not ready.cancelled() and ready.exception() is None:
-            self._settle(ready.result())
+            self._finish_run(ready.result())
 
     def _dispatch(self) -> None:
         """Start waiting jobs while batch slots are free, in fair order."""
@@ -295,7 +295,7 @@
             name: entry.value.weight
             for name, entry in self._session.view.member_by_id.items()
         }
-        while self._room() > 0:
+        while self._free_batch_slots() > 0:
             job = self._queue.take(self._can_run, weights)
             if job is None:
                 return
@@ -303,14 +303,14 @@
             self._running += 1
             stream = _Stream(job, self._residents.incarnation)
             if job.ready.done():
-                self._settle(stream)
+                self._finish_run(stream)
             else:
                 job.ready.set_result(stream)
 
     def _can_run(self, job: _jobs.Job) -> bool:
         return not job.ready.done() and self._residents.usable(job.adapter)
 
-    def _room(self) -> int:
+    def _free_batch_slots(self) -> int:
         if self._state.report is None:
             return 0
         return self._state.report.batch_slots - self._running
@@ -321,7 +321,7 @@
         job = stream.job
         request = job.request
         self._record_wait(job)
-        self._check_still_stands(job)
+        self._check_available(job)
         self._check_quarantine(stream)
         run = targets.Run(
             request.stream_id,
@@ -335,7 +335,7 @@
         stream.sent = True
         chunks = wire.watched(
             self._engine.run(self._order(), run),
-            lambda: self._lost(job),
+            lambda: self._abandon_reason(job),
             WATCH_S,
         )
         try:
@@ -383,7 +383,10 @@
 
     def _note_lost(self, stream: _Stream, error: wire.PeerLostError) -> None:
         """Record that the engine may have crashed while running a request."""
-        if not isinstance(error, _GivenUpError) and not self.info.leaving:
+        if (
+            not isinstance(error, _WaitAbandonedError)
+            and not self.info.leaving
+        ):
             self._note_end(stream, quarantine.RunEnd.LOST)
 
     def _note_end(self, stream: _Stream, end: quarantine.RunEnd) -> None:
@@ -402,10 +405,10 @@
         ends.note(run, end)
         self._session.kick()
 
-    def _lost(self, job: _jobs.Job) -> wire.ServingError | None:
+    def _abandon_reason(self, job: _jobs.Job) -> wire.ServingError | None:
         """Return an error if the engine is silent or the deadline passed."""
         if not self._reachable() or self._clock.now() > job.deadline:
-            return _GivenUpError(
+            return _WaitAbandonedError(
                 f"Engine {self.info.id} stopped responding during the answer."
             )
         return None
@@ -450,7 +453,7 @@
         stream.last_number = chunk.number
         return True
 
-    def _check_still_stands(self, job: _jobs.Job) -> None:
+    def _check_available(self, job: _jobs.Job) -> None:
         adapter, version = targets.split_name(job.adapter)
         entry = self._session.view.adapter_by_id.get(adapter)
         if entry is None or version not in entry.value.versions:
@@ -459,7 +462,7 @@
                 "Request an available version."
             )
 
-    def _settle(self, stream: _Stream) -> None:
+    def _finish_run(self, stream: _Stream) -> None:
         """Release a run; if it may continue, schedule its cancellation."""
         self._running -= 1
         name = stream.job.adapter
@@ -469,7 +472,7 @@
             # The run may continue, and its caller may resume the stream.
             self._residents.doubt(name, stream.incarnation, now)
             stream_id = stream.job.request.stream_id
-            self._parked_by_stream[stream_id] = asyncio.create_task(
+            self._cancel_task_by_stream[stream_id] = asyncio.create_task(
                 self._cancel_later(stream_id)
             )
         self._residents.unpin(name, stream.incarnation)
@@ -478,7 +481,7 @@
 
     async def _cancel_later(self, stream_id: str) -> None:
         await self._clock.sleep(self._settings.orphan_grace_s)
-        self._parked_by_stream.pop(stream_id, None)
+        self._cancel_task_by_stream.pop(stream_id, None)
         with contextlib.suppress(wire.ServingError):
             await self._engine.cancel(self._order(), stream_id)
 
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -15,16 +15,16 @@
     from bergamotsail.placement import _place_policy
 
 # Maximum number of prompt prefixes tracked as cached, evicted by LRU.
-KEPT_PREFIXES = 400
+MAX_PREFIXES = 400
 # Number of adapter copies that an engine is assumed to keep for each slot.
 # With 64 copies assumed on engines of 9 slots, 24 of 217 loads from a
 # supposed copy took as long as a fetch from the store, and with 54 copies 1
 # of 101 (one run each). Engines of 6 slots were found to keep 36.
-COPIES_BY_SLOT = 6
+COPIES_PER_SLOT = 6
 FAULT_HALF_LIFE_S = 4.0
 # Fraction of an engine's memory that is used for requests. Partly filled
 # blocks take up the rest.
-MEMORY_SHARE = 0.97
+MEMORY_FRACTION = 0.97
 
 AdapterName = tuple[str, str]
 
@@ -84,8 +84,8 @@
 
     Args:
         spec: capacity of the engines of the pool.
-        told_by: when all daemons have reported the requests that they were
-            running here before this record was created.
+        runs_reported_by: when all daemons have reported the requests that
+            they were running here before this record was created.
         pool_pace: the prefill estimate over the engines of the pool.
     """
 
@@ -93,22 +93,22 @@
         self,
         info: targets.Instance,
         spec: catalogue.EngineSpec,
-        told_by: float = 0.0,
+        runs_reported_by: float = 0.0,
         pool_pace: _pace.PoolPace | None = None,
     ) -> None:
         self.info = info
         self.capacity = capacity_of(spec)
-        self._most_copies = min(
-            COPIES_BY_SLOT * max(self.capacity, 1), catalogue.KEPT_COPIES
+        self._max_copies = min(
+            COPIES_PER_SLOT * max(self.capacity, 1), catalogue.KEPT_COPIES
         )
         self._spec = spec
-        self._most_tokens = spec.memory_tokens * MEMORY_SHARE
-        self._told_by = told_by
+        self._max_tokens = spec.memory_tokens * MEMORY_FRACTION
+        self._runs_reported_by = runs_reported_by
         self._pool_pace = pool_pace or _pace.PoolPace()
         self.leaving = False
-        self.begin_anew()
+        self.reset()
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Reset the record after a restart of the engine."""
         self.known = False
         self.fenced = False
@@ -136,7 +136,7 @@
         """Whether a request may run here and fits into the free capacity."""
         return (
             not self.leaving
-            and self.tokens + wish.tokens <= self._most_tokens
+            and self.tokens + wish.tokens <= self._max_tokens
             and len(self.grant_by_request) < self._spec.slots
             and self.info.pool == wish.pool
             and wish.name[0] in self.models
@@ -168,7 +168,7 @@
             f" read_per_s={self.reading.pace(now).tokens_per_s:.0f}"
         )
 
-    def take_report(self, report: targets.AdapterReport, now: float) -> None:
+    def apply_report(self, report: targets.AdapterReport, now: float) -> None:
         """Replace the slots by a report that reflects all accepted orders."""
         self.sequence = report.sequence
         self.models = set(report.models)
@@ -209,11 +209,11 @@
         """Whether it is certain that no request runs on a slot."""
         if slot.state is not SlotState.READY or slot.uses > 0:
             return False
-        return not (slot.reported and self.awaits_word(now))
+        return not (slot.reported and self.may_have_unreported_runs(now))
 
-    def awaits_word(self, now: float) -> bool:
+    def may_have_unreported_runs(self, now: float) -> bool:
         """Whether requests may run here that daemons have not reported."""
-        return now < self._told_by
+        return now < self._runs_reported_by
 
     def compare_runs(self, runs: int, granted_before: float) -> None:
         """Compare an engine's own count of runs with the grants.
@@ -226,7 +226,7 @@
             for grant in self.grant_by_request.values()
         )
         if runs <= known:
-            self._told_by = 0.0
+            self._runs_reported_by = 0.0
 
     def remember_copy(self, name: AdapterName) -> None:
         """Record that the engine keeps a local copy of an adapter."""
@@ -234,10 +234,10 @@
             self.new_copies[name] = None
         self._copies[name] = None
         self._copies.move_to_end(name)
-        while len(self._copies) > self._most_copies:
+        while len(self._copies) > self._max_copies:
             self._copies.popitem(last=False)
 
-    def recall_copies(self, names: collections.abc.Iterable[str]) -> None:
+    def restore_copies(self, names: collections.abc.Iterable[str]) -> None:
         """Restore the copies that an earlier leader recorded."""
         for text in names:
             model, _, adapter = text.partition("/")
@@ -273,7 +273,7 @@
             kept = (grant.name, part)
             self._prefixes[kept] = None
             self._prefixes.move_to_end(kept)
-        while len(self._prefixes) > KEPT_PREFIXES:
+        while len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
         self.restore(grant)
         return fresh
@@ -285,7 +285,7 @@
         after a lost reply, and counting the request twice would leave its
         slot in use and its memory reserved.
         """
-        self._count_out(grant.boot, grant.request, grant.granted_at)
+        self._remove_grant(grant.boot, grant.request, grant.granted_at)
         self.grant_by_request[(grant.boot, grant.request)] = grant
         self.tokens += grant.tokens
         slot = self.slot_by_name.get(grant.name)
@@ -296,9 +296,11 @@
     def release(self, boot: str, request: str, now: float) -> Grant | None:
         """Remove a request and return its grant, if there was one."""
         self.reading.drop((boot, request))
-        return self._count_out(boot, request, now)
+        return self._remove_grant(boot, request, now)
 
-    def _count_out(self, boot: str, request: str, now: float) -> Grant | None:
+    def _remove_grant(
+        self, boot: str, request: str, now: float
+    ) -> Grant | None:
         grant = self.grant_by_request.pop((boot, request), None)
         if grant is None:
             return None
--- a/libs/placement/src/bergamotsail/placement/_loads.py
+++ b/libs/placement/src/bergamotsail/placement/_loads.py
@@ -17,9 +17,9 @@
 TURN_TIMEOUT_S = 2.0
 # Weight of the latest load in the moving average of load durations.
 SMOOTHING = 0.2
-MOST_PENDING = 32
+MAX_PENDING = 32
 # Minimum use count of an adapter that its member still uses.
-STILL_USED = 0.5
+MIN_USE_COUNT = 0.5
 LOAD_BACKOFF_S = 0.5
 DEFAULT_STORE = "default"
 
@@ -75,7 +75,7 @@
         residents = self._state.residents
         names = {job.adapter for job in self._state.queue}
         waiting = [n for n in sorted(names) if not residents.usable(n)]
-        return tuple(waiting[:MOST_PENDING])
+        return tuple(waiting[:MAX_PENDING])
 
     def cheapest(self) -> float:
         """Return the lowest use count of a resident, 0 if a slot is free."""
@@ -132,7 +132,7 @@
         }
         for wanted in best_by_member.values():
             if wanted.owner not in ready:
-                self._make_room(wanted)
+                self._drain_for(wanted)
         if not ready:
             return False
         asked_at = self._state.clock.now()
@@ -220,7 +220,7 @@
         """
         if wanted.owner == victim.owner or not victim.owner:
             return True
-        if victim.use < STILL_USED and not victim.waiting:
+        if victim.use < MIN_USE_COUNT and not victim.waiting:
             return True
         held = [
             name
@@ -249,7 +249,7 @@
             share = entry.value.weight / max(sum(weights), entry.value.weight)
         return max(1, round(share * slots))
 
-    def _make_room(self, wanted: _policy.Candidate) -> None:
+    def _drain_for(self, wanted: _policy.Candidate) -> None:
         """Drain the least valuable busy adapter if *wanted* waits too long.
 
         At most one adapter is drained at a time.
@@ -271,7 +271,7 @@
         if busy:
             victim = self._policy.victim(busy)
             self._state.residents.by_name[victim.name].draining = True
-            self._decide("Drain", victim.name, f"room for {wanted.name}")
+            self._log_decision("Drain", victim.name, f"room for {wanted.name}")
 
     async def _take_turn(
         self, best_by_member: dict[str, _policy.Candidate]
@@ -308,7 +308,9 @@
             return False
         # Prevents the dispatch of further runs to it.
         resident.confirmed = False
-        self._decide("Evict", name, f"lowest keep score, for {wanted.name}")
+        self._log_decision(
+            "Evict", name, f"lowest keep score, for {wanted.name}"
+        )
         await self._state.steps.reach(wire.Step.EVICT, wire.Phase.BEFORE)
         try:
             await self._state.engine.unload(self._order(), name)
@@ -329,7 +331,7 @@
         if weights is None:
             return False
         started_at = self._state.clock.now()
-        self._decide("Load", name, f"{wanted.waiting} waiting")
+        self._log_decision("Load", name, f"{wanted.waiting} waiting")
         self._state.residents.loading(name, started_at)
         await self._state.steps.reach(wire.Step.LOAD, wire.Phase.BEFORE)
         try:
@@ -367,7 +369,7 @@
         backoff_s = LOAD_BACKOFF_S * 2**failures
         self._retry_at_by_name[name] = self._state.clock.now() + backoff_s
         self._state.metrics.count("load_failures")
-        self._decide("Back off", name, f"load failed: {error.code}")
+        self._log_decision("Back off", name, f"load failed: {error.code}")
         if failures < self._state.settings.load_retries:
             return
         for job in self._state.queue:
@@ -380,7 +382,7 @@
                     )
                 )
 
-    def _decide(self, what: str, adapter: str, reason: str) -> None:
+    def _log_decision(self, what: str, adapter: str, reason: str) -> None:
         observe.log_decision(
             observe.Decision(
                 "place",
--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -17,19 +17,19 @@
 # gives an effective window of about eight observations, so that an engine
 # that slows down under load is detected within two seconds rather than one
 # half-life.
-KEPT_BY_EACH = 0.88
+DECAY_PER_OBSERVATION = 0.88
 # Priority value that no request exceeds; it selects all prompts.
-LEAST_URGENT = 1_000
+LOWEST_PRIORITY = 1_000
 # Prompt size of the second point of the prior; the first is an empty prompt.
 PRIOR_TOKENS = 4_000.0
 # Maximum age of a cached estimate.
-BELIEF_AGE_S = 0.1
+MAX_ESTIMATE_AGE_S = 0.1
 # Bounds of an estimate, whatever is observed.
 LEAST_TOKENS_PER_S = 1_000.0
 MOST_TOKENS_PER_S = 1_000_000.0
 MOST_FIXED_S = 0.25
 # An observation is capped at this multiple of the expected duration.
-MOST_SURPRISE = 4.0
+MAX_OBSERVATION_RATIO = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 # Estimate for engines without observations. It is slower than most engines:
 # one that is overestimated is overloaded at once, while one that is
 # underestimated is corrected by its first answers.
-FIRST_BELIEF = Pace(0.012, 16_000.0)
+INITIAL_PACE = Pace(0.012, 16_000.0)
 
 
 class PaceEstimate:
@@ -77,15 +77,15 @@
     ) -> None:
         """Add an observation."""
         expected_s = self.pace(prior, now).read_s(tokens)
-        took_s = min(max(took_s, 0.0), expected_s * MOST_SURPRISE)
-        self._fade(now, KEPT_BY_EACH)
+        took_s = min(max(took_s, 0.0), expected_s * MAX_OBSERVATION_RATIO)
+        self._decay(now, DECAY_PER_OBSERVATION)
         self._weight += 1.0
         self._tokens += tokens
         self._seconds += took_s
         self._tokens_squared += tokens * tokens
         self._tokens_seconds += tokens * took_s
 
-    def _fade(self, now: float, kept: float) -> None:
+    def _decay(self, now: float, kept: float) -> None:
         factor = kept * 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
         self._at = max(now, self._at)
         self._weight *= factor
@@ -97,15 +97,15 @@
     def pace(self, prior: Pace, now: float) -> Pace:
         """Return the estimate; without recent observations, the prior."""
         factor = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
-        high_s = prior.read_s(PRIOR_TOKENS)
+        prior_s = prior.read_s(PRIOR_TOKENS)
         weight = self._weight * factor + 2 * PRIOR_WEIGHT
         tokens = self._tokens * factor + PRIOR_WEIGHT * PRIOR_TOKENS
         seconds = self._seconds * factor
-        seconds += PRIOR_WEIGHT * (prior.fixed_s + high_s)
+        seconds += PRIOR_WEIGHT * (prior.fixed_s + prior_s)
         squared = self._tokens_squared * factor
         squared += PRIOR_WEIGHT * PRIOR_TOKENS**2
         product = self._tokens_seconds * factor
-        product += PRIOR_WEIGHT * PRIOR_TOKENS * high_s
+        product += PRIOR_WEIGHT * PRIOR_TOKENS * prior_s
         spread = weight * squared - tokens * tokens
         slope = (weight * product - tokens * seconds) / spread
         slope = min(
@@ -132,14 +132,14 @@
     def __init__(self, learns: bool = True) -> None:
         self.learns = learns
         self._estimate = PaceEstimate()
-        self._last = FIRST_BELIEF
+        self._last = INITIAL_PACE
 
     def learn(self, tokens: int, took_s: float, now: float) -> None:
         """Add an observation of any engine of the pool."""
         if not self.learns:
             return
-        self._estimate.learn(tokens, took_s, FIRST_BELIEF, now)
-        self._last = self._estimate.pace(FIRST_BELIEF, now)
+        self._estimate.learn(tokens, took_s, INITIAL_PACE, now)
+        self._last = self._estimate.pace(INITIAL_PACE, now)
 
     def pace(self) -> Pace:
         """Return the latest estimate; it does not decay between updates."""
@@ -162,15 +162,15 @@
             collections.OrderedDict()
         )
         # When the engine started to read the oldest unread prompt.
-        self._since = 0.0
+        self._reading_since = 0.0
         self._pace = pool.pace()
         self._pace_at = float("-inf")
         self._backlog_by_priority: dict[int, float] = {}
         self._backlog_at = float("-inf")
 
     def pace(self, now: float) -> Pace:
-        """Return the estimated prefill speed, at most BELIEF_AGE_S old."""
-        if now - self._pace_at > BELIEF_AGE_S:
+        """Return the estimated speed, cached for MAX_ESTIMATE_AGE_S."""
+        if now - self._pace_at > MAX_ESTIMATE_AGE_S:
             self._pace = self._estimate.pace(self._pool.pace(), now)
             self._pace_at = now
         return self._pace
@@ -180,7 +180,7 @@
     ) -> None:
         """Add a prompt that is sent to the engine."""
         if not self._unread:
-            self._since = now
+            self._reading_since = now
         self._unread[key] = _Unread(now, tokens, priority)
         self._backlog_at = float("-inf")
 
@@ -201,15 +201,17 @@
             # It was read ahead of the oldest prompt, which was delayed by
             # its prefill time.
             read_s = self.pace(now).read_s(unread.tokens)
-            self._since = min(self._since + read_s, max(self._since, now))
+            self._reading_since = min(
+                self._reading_since + read_s, max(self._reading_since, now)
+            )
             return
-        began_at = max(unread.granted_at, self._since)
+        began_at = max(unread.granted_at, self._reading_since)
         if self._pool.learns and first_at > began_at:
             took_s = first_at - began_at
             self._pool.learn(unread.tokens, took_s, now)
             prior = self._pool.pace()
             self._estimate.learn(unread.tokens, took_s, prior, now)
-        self._since = max(self._since, first_at)
+        self._reading_since = max(self._reading_since, first_at)
 
     def backlog_s(self, now: float, priority: int | None = None) -> float:
         """Return how long a prompt that is sent now waits for its prefill.
@@ -226,19 +228,23 @@
         if self._backlog_at != now:
             self._backlog_at = now
             self._backlog_by_priority.clear()
-        least = LEAST_URGENT if priority is None else priority
-        if least not in self._backlog_by_priority:
-            self._backlog_by_priority[least] = self._backlog(now, least)
-        return self._backlog_by_priority[least]
-
-    def _backlog(self, now: float, least: int) -> float:
+        lowest_priority = LOWEST_PRIORITY if priority is None else priority
+        if lowest_priority not in self._backlog_by_priority:
+            self._backlog_by_priority[lowest_priority] = (
+                self._compute_backlog_s(now, lowest_priority)
+            )
+        return self._backlog_by_priority[lowest_priority]
+
+    def _compute_backlog_s(self, now: float, lowest_priority: int) -> float:
         pace = self.pace(now)
-        ahead = [u for u in self._unread.values() if u.priority <= least]
-        all_s = sum(pace.read_s(unread.tokens) for unread in ahead)
+        ahead = [
+            u for u in self._unread.values() if u.priority <= lowest_priority
+        ]
+        total_s = sum(pace.read_s(unread.tokens) for unread in ahead)
         oldest = next(iter(self._unread.values()))
         first_s = pace.read_s(oldest.tokens)
-        spent_s = max(0.0, now - max(self._since, oldest.granted_at))
+        spent_s = max(0.0, now - max(self._reading_since, oldest.granted_at))
         overdue_s = max(0.0, spent_s - first_s)
-        if oldest.priority <= least:
-            all_s -= min(spent_s, first_s)
-        return all_s + overdue_s
+        if oldest.priority <= lowest_priority:
+            total_s -= min(spent_s, first_s)
+        return total_s + overdue_s
--- a/libs/placement/src/bergamotsail/placement/_place_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_place_policy.py
@@ -78,19 +78,19 @@
             round trips of its orders.
         store_load_s: duration of a load from the store.
         store_price_s: cost of a fetch from the store, as seconds of waiting.
-        no_room_s: approximate time until a slot becomes free.
+        slot_wait_s: approximate time until a slot becomes free.
         other_datacentre_s: penalty for traffic between data centres.
         fault_s: penalty for each recent failure.
-        home_rank_s: penalty for each rank in the hash order of engines.
+        hash_rank_s: penalty for each rank in the hash order of engines.
     """
 
     copy_load_s: float = 0.04
     store_load_s: float = 0.28
     store_price_s: float = 0.45
-    no_room_s: float = 0.2
+    slot_wait_s: float = 0.2
     other_datacentre_s: float = 0.01
     fault_s: float = 0.3
-    home_rank_s: float = 0.01
+    hash_rank_s: float = 0.01
 
     def busy_cost_s(self, holding: _holding.Holding, now: float) -> float:
         backlog_s = holding.reading.backlog_s(now)
@@ -119,13 +119,13 @@
             price_s = self.store_price_s / (1.0 + wish.uses)
             price_s = max(0.0, price_s - wish.waited_s)
             cost_s += self.store_load_s + price_s
-            cost_s += self.home_rank_s * _rank(holding.info.id, wish.name)
+            cost_s += self.hash_rank_s * _rank(holding.info.id, wish.name)
         if room:
             return cost_s
         # The longer a request has waited, the more a full engine costs, so
         # that it is eventually loaded elsewhere.
         waited_s = wish.waited_s * WAITING_WEIGHT
-        return cost_s + self.no_room_s + waited_s
+        return cost_s + self.slot_wait_s + waited_s
 
 
 def _rank(target: str, name: _holding.AdapterName) -> float:
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -42,17 +42,17 @@
 # Within about this time of a new term, every connected entry has found the
 # new leader and reported its running requests.
 USES_TOLD_S = 1.0
-NOTE_S = 0.5
-TELL_S = 1.0
+COPY_NOTE_INTERVAL_S = 0.5
+STATE_LOG_INTERVAL_S = 1.0
 # Half-life of the use counts of adapters.
 USES_HALF_LIFE_S = 10.0
-PUMP_S = 0.002
+SCHEDULE_DELAY_S = 0.002
 # Time limit of one scheduling pass, so that the calls that keep the
 # leadership are served in between.
-PUMP_SLICE_S = 0.015
+SCHEDULE_SLICE_S = 0.015
 # The leader grants about 250 requests a second, so more waiting requests
 # can't be served before their deadlines. Further callers are told to retry.
-MOST_WAITERS = 400
+MAX_WAITERS = 400
 # Minimum delay before the next scheduling pass, as a multiple of the duration
 # of the last one.
 PUMP_SPACING = 3.0
@@ -113,7 +113,7 @@
             leadership,
             tenure or _tenure.Tenure(lease_s=0.0, started_at=0.0),
             holder_notes,
-            self._pump_soon,
+            self._schedule_soon,
             clock,
         )
         self._uses = _counter.AgedCounter(USES_HALF_LIFE_S)
@@ -133,15 +133,19 @@
             self._holding_by_target, policy, settings, self._is_current
         )
         self._waiters: list[_waiting.Waiter] = []
-        self._named_at: dict[_holding.AdapterName, tuple[int, float]] = {}
+        self._newest_seen_at: dict[_holding.AdapterName, tuple[int, float]] = (
+            {}
+        )
         self._store = _engine_orders.StoreTurns()
         self._background = wire.Background()
-        self._gone: set[str] = set()
+        self._removed_targets: set[str] = set()
         self._new_start: collections.abc.Callable[[str, int], None] | None = (
             None
         )
         # How many incarnations of each engine this term has managed so far.
-        self._starts_by_name: collections.Counter[str] = collections.Counter()
+        self._incarnations_by_name: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._pace_by_pool: dict[str, _pace.PoolPace] = {}
         self._pump_due: asyncio.TimerHandle | None = None
         self._pump_took_s = 0.0
@@ -152,13 +156,13 @@
         )
 
     async def __aenter__(self) -> "Placer":
-        self._background.start(self._tick, self._note)
+        self._background.start(self._tick, self._note_copies)
         return self
 
     async def __aexit__(self, *_: object) -> None:
         await self._background.stop()
         self._rights.stop()
-        self._forget_all()
+        self._reset()
 
     def serve(self, server: wire.PeerServer) -> None:
         """Register the handlers of the calls from entries."""
@@ -173,9 +177,9 @@
         """Return a target for a request, waiting for a load if needed."""
         self._check_leading()
         if request.releases is not None:
-            self._take_releases(request.releases)
-            self._pump_soon()
-        if len(self._waiters) >= MOST_WAITERS:
+            self._apply_releases(request.releases)
+            self._schedule_soon()
+        if len(self._waiters) >= MAX_WAITERS:
             raise wire.BehindError(
                 "Too many requests are waiting for an engine. Try again.",
                 retry_after_s=RETRY_AFTER_S,
@@ -186,10 +190,10 @@
         self._waiters.append(waiter)
         try:
             now = self._clock.now()
-            if not self._serve_at_once(waiter, now):
+            if not self._try_grant(waiter, now):
                 self._check_tenure(waiter)
                 self._log_wait(waiter)
-                self._pump_soon()
+                self._schedule_soon()
             return await self._wait(waiter)
         finally:
             if waiter in self._waiters:
@@ -203,10 +207,10 @@
         that is checked first and the engines are rarely scanned.
         """
         wait_s = self._rights.wait_s()
-        if wait_s <= _hope_s(waiter.request):
+        if wait_s <= _max_wait_without_load_s(waiter.request):
             return
         known = all(holding.known for holding in self._usable(waiter))
-        if not known or self._on_its_way(waiter):
+        if not known or self._grant_expected(waiter):
             return
         self._metrics.count("placements_refused", reason="no_orders_yet")
         self._log_refusal(waiter)
@@ -226,11 +230,11 @@
             StillWaitingError: ``patience_s`` passed.
         """
         request = waiter.request
-        hope_s = _hope_s(request)
+        hope_s = _max_wait_without_load_s(request)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(hope_s):
                 return await asyncio.shield(waiter.done)
-        if not self._on_its_way(waiter):
+        if not self._grant_expected(waiter):
             self._metrics.count("placements_refused", reason="no_place")
             self._log_refusal(waiter)
             raise wire.NoPlaceError(
@@ -245,7 +249,7 @@
             retry_after_s=RETRY_AFTER_S,
         )
 
-    def _on_its_way(self, waiter: _waiting.Waiter) -> bool:
+    def _grant_expected(self, waiter: _waiting.Waiter) -> bool:
         """Whether a request is granted or a usable engine has its adapter.
 
         The adapter may be resident, loading or in an unconfirmed state.
@@ -294,11 +298,11 @@
     ) -> _place_messages.Released:
         """Release ended requests and record how they ended."""
         self._check_leading()
-        self._take_releases(request)
-        self._pump_soon()
+        self._apply_releases(request)
+        self._schedule_soon()
         return _place_messages.Released()
 
-    def _take_releases(self, request: _place_messages.ReleaseRequest) -> None:
+    def _apply_releases(self, request: _place_messages.ReleaseRequest) -> None:
         for begun in request.begun:
             orders = self._orders_by_target.get(begun.target)
             if orders is not None:
@@ -406,15 +410,15 @@
         for target in set(self._orders_by_target) - seen:
             self._orders_by_target.pop(target).stop()
             del self._holding_by_target[target]
-            self._gone.add(target)
-        self._pump_soon()
+            self._removed_targets.add(target)
+        self._schedule_soon()
 
     def on_new_start(
         self, told: collections.abc.Callable[[str, int], None]
     ) -> None:
         self._new_start = told
 
-    def _tell_new_start(self, target: str, born_ms: int) -> None:
+    def _report_new_start(self, target: str, born_ms: int) -> None:
         if self._new_start is not None:
             self._new_start(target, born_ms)
 
@@ -438,16 +442,16 @@
             self._rights,
             self._store,
             self._metrics,
-            self._pump_soon,
+            self._schedule_soon,
             self._clock,
-            functools.partial(self._tell_new_start, info.id),
-            self._starts_by_name[name],
+            functools.partial(self._report_new_start, info.id),
+            self._incarnations_by_name[name],
         )
-        self._starts_by_name[name] += 1
+        self._incarnations_by_name[name] += 1
         self._orders_by_target[info.id] = orders
         self._holding_by_target[info.id] = orders.holding
         if self._notes is not None:
-            orders.holding.recall_copies(self._notes.names(info.id))
+            orders.holding.restore_copies(self._notes.names(info.id))
         orders.settle()
 
     # Terms.
@@ -462,7 +466,7 @@
             return
         self._term = self._leadership.term
         self._term_at = self._clock.now()
-        self._forget_all()
+        self._reset()
         self._rights.follow(self._term)
 
     def _fail_waiters(self) -> None:
@@ -471,18 +475,18 @@
                 waiter.done.set_exception(self._leadership.refusal())
         self._waiters.clear()
 
-    def _forget_all(self) -> None:
+    def _reset(self) -> None:
         for orders in self._orders_by_target.values():
             orders.stop()
         self._orders_by_target.clear()
         self._holding_by_target.clear()
         self._target_by_request.clear()
         self._lacking.clear()
-        self._starts_by_name.clear()
+        self._incarnations_by_name.clear()
         self._fail_waiters()
 
     async def _tick(self) -> None:
-        told_at = self._clock.now()
+        logged_at = self._clock.now()
         while True:
             await self._clock.sleep(TICK_S)
             if self._leadership.holds():
@@ -490,14 +494,14 @@
                 for orders in self._orders_by_target.values():
                     orders.tend()
                 self._refresh_versions(self._clock.now())
-                self._pump_soon()
-                if self._clock.now() - told_at > TELL_S:
-                    told_at = self._clock.now()
-                    self._tell()
+                self._schedule_soon()
+                if self._clock.now() - logged_at > STATE_LOG_INTERVAL_S:
+                    logged_at = self._clock.now()
+                    self._log_state()
             elif self._waiters:
                 self._fail_waiters()
 
-    def _tell(self) -> None:
+    def _log_state(self) -> None:
         """Log the believed state of all engines."""
         observe.log_event(
             "place",
@@ -520,14 +524,14 @@
             },
         )
 
-    async def _note(self) -> None:
+    async def _note_copies(self) -> None:
         """Persist new copies and removed targets for the next leader."""
         while True:
-            await self._clock.sleep(NOTE_S)
+            await self._clock.sleep(COPY_NOTE_INTERVAL_S)
             if self._notes is None or not self._leadership.holds():
                 continue
             copies = tuple(self._new_copies())
-            gone, self._gone = tuple(self._gone), set()
+            gone, self._removed_targets = tuple(self._removed_targets), set()
             if copies or gone:
                 with contextlib.suppress(wire.ServingError, TimeoutError):
                     note = catalogue.NoteCopies(copies, gone)
@@ -551,10 +555,10 @@
 
     # Scheduling.
 
-    def _pump_soon(self) -> None:
+    def _schedule_soon(self) -> None:
         """Schedule a pass, delayed so that passes take a bounded CPU share."""
         if self._pump_due is None:
-            delay_s = max(PUMP_S, PUMP_SPACING * self._pump_took_s)
+            delay_s = max(SCHEDULE_DELAY_S, PUMP_SPACING * self._pump_took_s)
             loop = asyncio.get_running_loop()
             self._pump_due = loop.call_later(delay_s, self._pump)
 
@@ -581,15 +585,15 @@
             waiters_by_name.setdefault(waiter.name, []).append(waiter)
         wanted = set(waiters_by_name)
         may_load = self._rights.may_order()
-        while self._names_left and self._clock.now() - now < PUMP_SLICE_S:
+        while self._names_left and self._clock.now() - now < SCHEDULE_SLICE_S:
             name = self._names_left.popleft()
-            self._serve_name(
+            self._decide_adapter(
                 waiters_by_name.get(name, []), wanted, now, may_load
             )
         self._waiters = [w for w in self._waiters if not w.done.done()]
         self._pump_took_s = self._clock.now() - now
         if self._names_left:
-            self._pump_soon()
+            self._schedule_soon()
 
     def _ranked_names(
         self, now: float
@@ -600,12 +604,12 @@
         }
         self._waiters.sort(
             key=lambda waiter: waiter.rank(
-                pace_by_pool.get(waiter.request.pool, _pace.FIRST_BELIEF), now
+                pace_by_pool.get(waiter.request.pool, _pace.INITIAL_PACE), now
             )
         )
         return dict.fromkeys(waiter.name for waiter in self._waiters)
 
-    def _serve_name(
+    def _decide_adapter(
         self,
         waiters: list[_waiting.Waiter],
         wanted: set[_holding.AdapterName],
@@ -618,10 +622,10 @@
         """
         for waiter in waiters:
             if not waiter.done.done():
-                if not self._serve_one(waiter, wanted, now, may_load):
+                if not self._decide_one(waiter, wanted, now, may_load):
                     return
 
-    def _serve_at_once(self, waiter: _waiting.Waiter, now: float) -> bool:
+    def _try_grant(self, waiter: _waiting.Waiter, now: float) -> bool:
         """Grant a new request if it can run now; False if it has to wait.
 
         While other adapters lack a free slot, no load is started here, so
@@ -640,7 +644,7 @@
             self._lacking.add(waiter.name)
         return False
 
-    def _serve_one(
+    def _decide_one(
         self,
         waiter: _waiting.Waiter,
         wanted: collections.abc.Container[_holding.AdapterName],
@@ -735,10 +739,10 @@
         wanted = self._wanted_version(name)
         if wanted is None or (slot.version or 0) >= wanted:
             return False
-        version, named_at = self._named_at.get(name, (0, 0.0))
+        version, named_at = self._newest_seen_at.get(name, (0, 0.0))
         if version != wanted:
             named_at = now
-            self._named_at[name] = (wanted, now)
+            self._newest_seen_at[name] = (wanted, now)
         return now - named_at > OLD_VERSION_S
 
     def _refresh_versions(self, now: float) -> None:
@@ -760,7 +764,7 @@
                     orders.start_load(name, wanted, None, now)
 
 
-def _hope_s(request: _place_messages.PlaceRequest) -> float:
+def _max_wait_without_load_s(request: _place_messages.PlaceRequest) -> float:
     """Return how long a request may wait while no load is in progress."""
     hope_s = min(request.hope_s - request.waited_s, request.patience_s)
     return max(hope_s, 0.0)
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -29,16 +29,16 @@
         leadership: _leadership.Leadership,
         tenure: _tenure.Tenure,
         notes: _tenure.HolderNotes,
-        opened: collections.abc.Callable[[], None],
+        on_acquired: collections.abc.Callable[[], None],
         clock: wire.Clock,
     ) -> None:
         self._leadership = leadership
         self._tenure = tenure
         self._notes = notes
-        self._opened = opened
+        self._on_acquired = on_acquired
         self._clock = clock
         self._term = -1
-        self._noting: asyncio.Task | None = None
+        self._note_task: asyncio.Task | None = None
         self._retry_at = float("-inf")
 
     def leads(self) -> bool:
@@ -69,15 +69,15 @@
         now = self._clock.now()
         alone = self._tenure.alone_due(now)
         due = alone or self._tenure.due(now)
-        free = self._noting is None or self._noting.done()
+        free = self._note_task is None or self._note_task.done()
         if due and free and now >= self._retry_at:
             work = self._note(self._term, alone)
-            self._noting = asyncio.create_task(work)
+            self._note_task = asyncio.create_task(work)
 
     def stop(self) -> None:
         """Cancel a note in progress."""
-        if self._noting is not None:
-            self._noting.cancel()
+        if self._note_task is not None:
+            self._note_task.cancel()
 
     def _begin(self) -> None:
         former = tuple(self._notes.former())
@@ -103,4 +103,4 @@
             return
         self._tenure.noted(term, self._clock.now(), alone)
         observe.log_event("place", "orders", term=term, alone=alone)
-        self._opened()
+        self._on_acquired()
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -13,7 +13,7 @@
 import contextlib
 
 # The largest relative difference between two clocks.
-DRIFT = 0.05
+MAX_CLOCK_DRIFT = 0.05
 
 
 class HolderNotes(abc.ABC):
@@ -81,12 +81,12 @@
     def __init__(
         self, lease_s: float, started_at: float, quiet_s: float = 0.0
     ) -> None:
-        self._lease_s = lease_s * (1 + DRIFT)
+        self._lease_s = lease_s * (1 + MAX_CLOCK_DRIFT)
         self._quiet_s = quiet_s
         self._ordered_at = started_at
         self._in_flight = 0
         self._quiet_until = float("-inf")
-        self._returns = False
+        self._is_former_holder = False
         self._noted = False
         self._noted_at = float("inf")
         self._alone = False
@@ -107,7 +107,7 @@
         self._noted = last and not self._quiet_s
         self._noted_at = now
         self._alone = last and len(former) == 1
-        self._returns = name in former and not last
+        self._is_former_holder = name in former and not last
         self._quiet_until = now + self._quiet_s
 
     def due(self, now: float) -> bool:
@@ -156,8 +156,8 @@
         return self._wait_s(now)
 
     def _wait_s(self, now: float) -> float:
-        free_at = self._quiet_until
-        if self._returns:
+        allowed_at = self._quiet_until
+        if self._is_former_holder:
             last_at = now if self._in_flight else self._ordered_at
-            free_at = max(free_at, last_at + self._lease_s)
-        return max(0.0, free_at - now)
+            allowed_at = max(allowed_at, last_at + self._lease_s)
+        return max(0.0, allowed_at - now)
--- a/libs/placement/src/bergamotsail/placement/_waiting.py
+++ b/libs/placement/src/bergamotsail/placement/_waiting.py
@@ -9,7 +9,7 @@
 from bergamotsail.placement import _place_policy
 
 # Approximate duration of a load and the request's transfer to the engine.
-LOAD_S = 0.28
+TYPICAL_LOAD_S = 0.28
 
 
 @dataclasses.dataclass(slots=True)
@@ -43,11 +43,11 @@
         time that meets the objective, which is earlier for long prompts.
         """
         request = self.request
-        needs_s = LOAD_S + pace.read_s(request.prompt_tokens)
-        begins_by = (
+        needs_s = TYPICAL_LOAD_S + pace.read_s(request.prompt_tokens)
+        latest_start = (
             self.arrived_at + request.objective_s - request.age_s - needs_s
         )
-        return begins_by < now, request.priority, begins_by
+        return latest_start < now, request.priority, latest_start
 
     def wish(self, uses: float, now: float) -> _place_policy.Wish:
         """Return the requirements of the request for a decision."""
