--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -105,7 +105,7 @@
         settings: _place_settings.PlaceSettings = (
             _place_settings.PlaceSettings()
         ),
-        holder_notes: _tenure.HolderNotes = _tenure.NoHolderNotes(),
+        holder_notes: _tenure.HolderNotes = _tenure.NoHolderRegistry(),
         tenure: _tenure.Tenure | None = None,
     ) -> None:
         self._settings = settings
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -43,7 +43,7 @@
         """
 
 
-class NoHolderNotes(HolderNotes):
+class NoHolderRegistry(HolderNotes):
     """Records nothing; for deployments with a single order-giving process."""
 
     @property
