--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -218,8 +218,8 @@
     def _least_loaded_first(self, wish: Wish, now: float) -> list[Holding]:
         """Return a pool's engines, the least loaded first.
 
-        The order may be MAX_SORT_AGE_S old. A pool of at most MOST_WEIGHED
-        engines is not sorted.
+        The order may be MAX_SORT_AGE_S old. A pool is not sorted if it has
+        at most MOST_WEIGHED engines.
         """
         at, ordered = self._sorted_by_pool.get(wish.pool, (0.0, []))
         there = self._holding_by_target
