--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -1,8 +1,7 @@
-"""Where a request runs, what is loaded for it, what makes room.
+"""Decides where a request runs, what is loaded for it and what is evicted.
 
-Decisions only: they read what is believed of the engines and say what to
-do. Nothing here waits, sends or asks a clock, so every load can be played
-against it without a network.
+The decisions are computed from the engine records alone. Nothing here waits,
+sends or reads a clock, so any workload can be simulated without a network.
 """
 
 import collections.abc
@@ -14,35 +13,37 @@
 
 State = _holding.SlotState
 
-# What an engine takes in at once; ordered beyond, it refuses (the users'
-# protocol).
-MOST_IN_TRANSIT = 4
-# A queue shorter than this is no reason for a further copy: it is twice what
-# a load from a copy takes, with the orders around it (0.05 s, p50).
-SPREAD_COST_S = 0.1
-# A further copy must be better by so much; beliefs are no finer than this.
-SPREAD_GAIN_S = 0.03
-# A load that is later than expected by so much is not waited for where the
-# adapter is resident elsewhere.
-LOAD_LATE_S = 0.3
-# Engines that are weighed for a load, beside those with a copy. With more,
-# a decision costs time in proportion and gains nothing: the least loaded
-# are alike.
+# Concurrent loads that an engine accepts according to its protocol; it
+# refuses further ones.
+MAX_IN_TRANSIT = 4
+# Minimum cost of running on a resident engine before the adapter is loaded on
+# another one: twice the p50 of a load from a local copy with its orders
+# (0.05 s).
+MIN_SPREAD_COST_S = 0.1
+# Minimum gain from loading the adapter on another engine; estimates are no
+# more precise than this.
+MIN_SPREAD_GAIN_S = 0.03
+# A load that is overdue by more than this is not waited for if the adapter is
+# resident elsewhere.
+MAX_LOAD_OVERDUE_S = 0.3
+# Number of least loaded engines considered for a load, besides those with a
+# copy. The cost of a decision is proportional to it, and more engines gain
+# nothing since the least loaded ones are alike.
 MOST_WEIGHED = 10
-# The order of engines by load is that old at most.
-ORDER_AGE_S = 0.02
+# Maximum age of the cached order of engines by load.
+MAX_SORT_AGE_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Run there now."""
+    """Run the request on a target now."""
 
     target: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Load the adapter there, after *victim* left."""
+    """Load the adapter on a target, evicting *victim* first if not None."""
 
     target: str
     victim: _holding.AdapterName | None
@@ -50,10 +51,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Wait: for a load on its way, or for room.
+    """Wait for a load in progress or for a free slot.
 
     Args:
-        coming: whether a load of the adapter is on its way.
+        coming: whether a load of the adapter is in progress.
     """
 
     coming: bool
@@ -68,9 +69,9 @@
     """Decides for one request at a time.
 
     Args:
-        holding_by_target: all engines, as they are believed to be.
-        is_current: whether requests may begin on what a slot holds, as far
-            as versions go.
+        holding_by_target: the records of all engines, which may change
+            between decisions.
+        is_current: whether requests may start on the version in a slot.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         self._policy = policy
         self._settings = settings
         self._is_current = is_current
-        self._order_by_pool: dict[str, tuple[float, list[Holding]]] = {}
+        self._sorted_by_pool: dict[str, tuple[float, list[Holding]]] = {}
 
     def decide(
         self,
@@ -98,8 +99,8 @@
         """Return what to do for a request.
 
         Args:
-            wanted: adapters that others wait for, which stay.
-            may_load: whether orders may be given at this moment.
+            wanted: adapters that other requests wait for; not evicted.
+            may_load: whether load orders are allowed now.
         """
         if not wish.name[1]:
             return self._run_anywhere(wish, now)
@@ -125,25 +126,29 @@
                 return Wait(False)
             return self._load(wish, wanted, now, float("inf")) or Wait(False)
         cost_s, _, there = best
-        if may_load and self._settings.spread and cost_s > SPREAD_COST_S:
-            further = self._further_copy(wish, resident, wanted, now, cost_s)
+        if may_load and self._settings.spread and cost_s > MIN_SPREAD_COST_S:
+            further = self._additional_copy(
+                wish, resident, wanted, now, cost_s
+            )
             if further is not None:
                 return further
         return Run(there.info.id)
 
     def _run_anywhere(self, wish: Wish, now: float) -> Decision:
-        """Run the base model itself, which all engines hold."""
+        """Decide for a request to the base model, which needs no adapter."""
         best = min(
             (
                 (self._policy.run_cost_s(holding, wish, now), number, holding)
-                for number, holding in enumerate(self._ordered(wish, now))
+                for number, holding in enumerate(
+                    self._least_loaded_first(wish, now)
+                )
                 if holding.can_take(wish)
             ),
             default=None,
         )
         return Wait(False) if best is None else Run(best[2].info.id)
 
-    def _further_copy(
+    def _additional_copy(
         self,
         wish: Wish,
         resident: list[tuple[Holding, _holding.Slot]],
@@ -151,13 +156,17 @@
         now: float,
         cost_s: float,
     ) -> Decision | None:
-        """Return how a further copy answers sooner, None if none does."""
-        limit_s = cost_s - SPREAD_GAIN_S
+        """Return a load or wait that beats *cost_s* by enough, else None.
+
+        While a load of the adapter that is not overdue is in progress, no
+        further one is started.
+        """
+        limit_s = cost_s - MIN_SPREAD_GAIN_S
         loading = [
             (holding, slot)
             for holding, slot in resident
             if slot.state is State.LOADING
-            and now <= slot.ready_at + LOAD_LATE_S
+            and now <= slot.ready_at + MAX_LOAD_OVERDUE_S
         ]
         for holding, slot in loading:
             left_s = max(0.0, slot.ready_at - now)
@@ -175,38 +184,46 @@
         now: float,
         limit_s: float,
     ) -> Load | None:
-        """Return where a load is cheapest, None if that is no use now."""
+        """Return the cheapest load.
+
+        None if no engine qualifies, the cheapest one has no room now, or its
+        cost exceeds *limit_s*.
+        """
         best: tuple[float, int, Holding] | None = None
-        best_room: tuple[_holding.AdapterName | None] | None = None
-        for number, holding in enumerate(self._weighed(wish, now)):
+        best_slot: tuple[_holding.AdapterName | None] | None = None
+        for number, holding in enumerate(self._load_candidates(wish, now)):
             if wish.name in holding.slot_by_name or not holding.can_take(wish):
                 continue
-            room = self._room(holding, wanted, now)
+            room = self._find_slot(holding, wanted, now)
             cost_s = self._policy.load_cost_s(
                 holding, wish, now, room is not None
             )
             if best is None or (cost_s, number) < best[:2]:
-                best, best_room = (cost_s, number, holding), room
-        if best is None or best_room is None or best[0] > limit_s:
+                best, best_slot = (cost_s, number, holding), room
+        if best is None or best_slot is None or best[0] > limit_s:
             return None
-        return Load(best[2].info.id, best_room[0])
+        return Load(best[2].info.id, best_slot[0])
 
-    def _weighed(
+    def _load_candidates(
         self, wish: Wish, now: float
     ) -> collections.abc.Iterator[Holding]:
-        """Yield the engines that are worth weighing for a load."""
-        ordered = self._ordered(wish, now)
+        """Yield the least loaded engines and those with a copy."""
+        ordered = self._least_loaded_first(wish, now)
         near = ordered[:MOST_WEIGHED]
         yield from near
         for holding in ordered[MOST_WEIGHED:]:
             if holding.has_copy(wish.name):
                 yield holding
 
-    def _ordered(self, wish: Wish, now: float) -> list[Holding]:
-        """Return a pool's engines, the least loaded first, or nearly."""
-        at, ordered = self._order_by_pool.get(wish.pool, (0.0, []))
+    def _least_loaded_first(self, wish: Wish, now: float) -> list[Holding]:
+        """Return a pool's engines, the least loaded first.
+
+        The order may be MAX_SORT_AGE_S old. A pool is not sorted if it has
+        at most MOST_WEIGHED engines.
+        """
+        at, ordered = self._sorted_by_pool.get(wish.pool, (0.0, []))
         there = self._holding_by_target
-        if ordered and now - at <= ORDER_AGE_S:
+        if ordered and now - at <= MAX_SORT_AGE_S:
             if all(there.get(h.info.id) is h for h in ordered):
                 return ordered
         ordered = [
@@ -216,23 +233,26 @@
         ]
         if len(ordered) > MOST_WEIGHED:
             ordered.sort(key=lambda holding: self._load_of(holding, now))
-        self._order_by_pool[wish.pool] = (now, ordered)
+        self._sorted_by_pool[wish.pool] = (now, ordered)
         return ordered
 
     def _load_of(self, holding: Holding, now: float) -> float:
-        """Return how loaded an engine is; what takes nothing comes last."""
+        """Return the load of an engine, infinite if it accepts no loads."""
         if not holding.may_load:
             return float("inf")
         return self._policy.busy_cost_s(holding, now)
 
-    def _room(
+    def _find_slot(
         self,
         holding: Holding,
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
     ) -> tuple[_holding.AdapterName | None] | None:
-        """Return whom a load would replace, or None for no room."""
-        if not holding.may_load or holding.in_transit() >= MOST_IN_TRANSIT:
+        """Return the adapter that a load would evict, in a tuple.
+
+        ``(None,)`` if a slot is free, None if no load can start now.
+        """
+        if not holding.may_load or holding.in_transit() >= MAX_IN_TRANSIT:
             return None
         if len(holding.slot_by_name) < holding.capacity:
             return (None,)
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -1,4 +1,4 @@
-"""Whether orders to engines may leave this process, and who is told."""
+"""Acquires and checks this process's right to send orders to engines."""
 
 import asyncio
 import collections.abc
@@ -12,16 +12,16 @@
 
 # How many former holders a log line names.
 LOGGED_HOLDERS = 3
-# A note that the log did not take is tried again after so long.
+# Delay before a failed note to the log is retried.
 NOTE_RETRY_S = 0.25
 
 
 class OrderRights(_engine_orders.OrderGate):
-    """Follows the lead and claims the right to order, when it is due.
+    """Follows the leadership and claims the right to give orders when due.
 
     Args:
-        notes: where it is remembered who gave orders.
-        opened: called when orders may leave from now on.
+        notes: where the processes that gave orders are recorded.
+        opened: called when orders may be sent from now on.
     """
 
     def __init__(
@@ -29,16 +29,16 @@
         leadership: _leadership.Leadership,
         tenure: _tenure.Tenure,
         notes: _tenure.HolderNotes,
-        opened: collections.abc.Callable[[], None],
+        on_acquired: collections.abc.Callable[[], None],
         clock: wire.Clock,
     ) -> None:
         self._leadership = leadership
         self._tenure = tenure
         self._notes = notes
-        self._opened = opened
+        self._on_acquired = on_acquired
         self._clock = clock
         self._term = -1
-        self._noting: asyncio.Task | None = None
+        self._note_task: asyncio.Task | None = None
         self._retry_at = float("-inf")
 
     def leads(self) -> bool:
@@ -52,16 +52,16 @@
         return self._tenure.sending(self._clock.now)
 
     def wait_s(self) -> float:
-        """Return for how long no order may leave, as far as is known."""
+        """Return the expected wait until orders may be sent."""
         return self._tenure.wait_s(self._term, self._clock.now())
 
     def follow(self, term: int) -> None:
-        """Take that the ledger is of this term from now on."""
+        """Switch to a new term and claim the right to give orders in it."""
         self._term = term
         self.claim()
 
     def claim(self) -> None:
-        """Claim the right to order, as soon as it is due."""
+        """Start recording this process as the holder if that is due."""
         if not self.leads():
             return
         if self._tenure.fence != self._term:
@@ -69,15 +69,15 @@
         now = self._clock.now()
         alone = self._tenure.alone_due(now)
         due = alone or self._tenure.due(now)
-        free = self._noting is None or self._noting.done()
+        free = self._note_task is None or self._note_task.done()
         if due and free and now >= self._retry_at:
             work = self._note(self._term, alone)
-            self._noting = asyncio.create_task(work)
+            self._note_task = asyncio.create_task(work)
 
     def stop(self) -> None:
-        """Claim nothing any more."""
-        if self._noting is not None:
-            self._noting.cancel()
+        """Cancel a note in progress."""
+        if self._note_task is not None:
+            self._note_task.cancel()
 
     def _begin(self) -> None:
         former = tuple(self._notes.former())
@@ -92,7 +92,7 @@
         )
 
     async def _note(self, term: int, alone: bool) -> None:
-        """Note who orders before the first order leaves."""
+        """Record this process as the holder before its first order."""
         try:
             await self._notes.note(term, alone)
         except (wire.ServingError, TimeoutError) as error:
@@ -103,4 +103,4 @@
             return
         self._tenure.noted(term, self._clock.now(), alone)
         observe.log_event("place", "orders", term=term, alone=alone)
-        self._opened()
+        self._on_acquired()
