--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -59,8 +59,8 @@
     await asyncio.sleep(3.0)
     new = await replicas.leader()
     faults = []
-    lost = told[old.member.address].of("role", **{"is": "leads no more"})
-    if len(lost) != 1 or not lost[0]["why"].startswith("unanswered 0."):
+    lost = told[old.member.address].of("role", **{"is": "no longer leads"})
+    if len(lost) != 1 or not lost[0]["why"].startswith("no majority for 0."):
         faults.append(f"lost: {lost}")
     elif min(lost[0]["answered_s"].values()) < 0.6:
         faults.append(f"answers: {lost}")
@@ -90,7 +90,7 @@
     term = leader.term
     await node._stand(False)
     faults = []
-    stands = told[node.member.address].of("stand", end="no word")
+    stands = told[node.member.address].of("stand", end="pre-vote failed")
     if len(stands) != 1:
         return [f"stands: {stands}"]
     answers = stands[0]["answers"]
@@ -125,7 +125,7 @@
         _spin(BLOCKED_S)
         gc.collect()
         # Before the loop could look at how late it is.
-        vitals.saw("role", {"is": "leads no more"})
+        vitals.saw("role", {"is": "no longer leads"})
         await asyncio.sleep(1.0)
     return observe.as_text(metrics.snapshot())
 
--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -1,8 +1,8 @@
-"""One replica of the log: elections, replication, commit and membership.
+"""One Raft replica: elections, replication, commit and membership.
 
-All handlers that change durable state run under one lock, one after the
-other. There is one task for the election, one for flushing to disk, one for
-applying, and one for each peer while this replica leads.
+Handlers that change durable state hold one lock. There is one task each for
+elections, flushing to disk, applying entries and joining, and one per peer
+while this replica is the leader.
 """
 
 import abc
@@ -32,21 +32,23 @@
 CONFIRM_POLL_S = 0.005
 SILENT_VOTER_S = 2.0
 MOST_REDIRECTS = 2
-# Seeds that start together with this replica read their disks by then.
+# How long forming the log waits for seeds that are still reading their disks.
 FORM_WAIT_S = 5.0
 FORM_RETRY_S = 0.1
-# Shares of the election timeout: within which replicas that start together
-# spread their first normal stand, and the first stand for the votes of all;
-# how long until that is tried again; how long a vote is then waited for.
+# The constants below are fractions of the election timeout.
+# Random delay of the first normal election after a start, so that replicas
+# that start together don't stand together.
 START_SPREAD = 0.6
-# For this share of it a leader may be silent before callers are no longer
-# sent to it: three of its heartbeats.
+# Silence of the leader, equal to three default heartbeats, after which
+# callers are no longer redirected to it.
 DOUBTED_SHARE = 0.6
+# Early elections that need the votes of all voters: random delay of the
+# first, mean interval between retries, and timeout of a vote request.
 EARLY_SPREAD = 0.15
 EARLY_RETRY = 0.2
 EARLY_CALL = 0.3
-# For this share of the election timeout a replica that would vote for one
-# candidate tells no other that it would: longer than a vote takes.
+# How long a granted pre-vote excludes other candidates: longer than a
+# vote takes.
 PRE_VOTE_HOLD = 0.1
 
 Config = _messages.Config
@@ -67,9 +69,10 @@
 class Timing:
     """Timeouts in seconds.
 
-    *drift* is the largest relative difference between two clocks.
-    *snapshot_entries* is how many entries are kept before a snapshot.
-    A replica stands after *election_s* to *election_spread* times it.
+    *drift* is the largest relative rate difference between two clocks.
+    *snapshot_entries* is how many entries are applied between snapshots.
+    The election timeout is drawn between *election_s* and *election_s* times
+    *election_spread*.
     """
 
     election_s: float = 1.0
@@ -81,20 +84,26 @@
 
     @property
     def doubted_s(self) -> float:
-        """After so long without a word a leader is likely lost."""
+        """Silence in seconds after which the leader is suspected lost."""
         return DOUBTED_SHARE * self.election_s
 
 
 class Witness(abc.ABC):
-    """Hears of each change of role, each stand and each vote asked for."""
+    """Receives role changes, election results and vote requests."""
 
     @abc.abstractmethod
     def saw(self, what: str, fields: dict[str, object]) -> None:
-        """Take it without blocking; *what* is role, stand or ballot."""
+        """Handle an event without blocking.
+
+        Args:
+            what: ``role`` for a role change, ``stand`` for the result of an
+                election of this replica, ``ballot`` for a vote request.
+            fields: details of the event, by log key.
+        """
 
 
 class NoWitness(Witness):
-    """Hears nothing."""
+    """Ignores all events."""
 
     def saw(self, what: str, fields: dict[str, object]) -> None:
         pass
@@ -106,24 +115,26 @@
 
 
 class Node:
-    """A replica; an async context manager that runs its tasks.
+    """A Raft replica; an async context manager that runs its tasks.
 
     Args:
-        name: the lasting name of this replica.
-        address: where its peers reach it.
-        seeds: addresses of the replicas, to join through.
-        storage: its disk.
-        transport: how it calls its peers.
-        machine: what it applies commands to.
+        name: name of this replica, kept when its disk is replaced.
+        address: address at which peers reach it.
+        seeds: addresses of the replicas to join through.
+        storage: its durable state.
+        transport: sends calls to peers.
+        machine: the state machine that committed commands are applied to.
         rng: draws election timeouts.
-        forms: the first of the seeds forms the log by itself, once all of
-            them are there and blank. True at the very first start only.
-        max_voters: a further replica waits as a learner until a voter
-            falls silent, or until one domain has two voters more than its
-            own, and then takes a place.
-        domain: what may be lost as a whole with this replica.
+        forms: whether the seed with the lowest address forms the log without
+            an operator, once all seeds answer and are blank. True at the
+            very first start only.
+        max_voters: at this number of voters a further replica stays a
+            learner until a voter stops answering, or until some domain has
+            at least two voters more than the replica's own domain; it then
+            replaces that voter.
+        domain: failure domain of this replica.
         started_at: when this process started, on the clock; the time of
-            the first load when None.
+            loading when None.
     """
 
     def __init__(
@@ -216,14 +227,14 @@
         self,
         work: collections.abc.Callable[[], collections.abc.Awaitable[None]],
     ) -> None:
-        """Stop this replica for good when one of its tasks breaks."""
+        """Run a task; mark this replica as failed when it raises."""
         try:
             await work()
         except Exception as error:
             self._fail(error)
 
     def serve(self, server: wire.PeerServer) -> None:
-        """Answer the calls of other replicas."""
+        """Register the handlers for calls of other replicas."""
         for call, handler in (
             (_messages.VOTE, self.on_vote),
             (_messages.APPEND, self.on_append),
@@ -241,10 +252,11 @@
         work: collections.abc.Callable[..., collections.abc.Awaitable],
         *args: object,
     ) -> typing.Any:
-        """Do work on the disk to its end, though its caller goes away.
+        """Run work that writes to disk, even when the caller is cancelled.
 
-        Ended between a write and its note in memory, it would leave the
-        two out of step: the next write would repeat the same entries.
+        Cancelling it between a write and the update of the state in memory
+        would make the two differ, and the next write would append the same
+        entries again.
         """
         task = asyncio.ensure_future(work(*args))
         self._under_way.add(task)
@@ -254,10 +266,10 @@
     def _ended(self, task: asyncio.Future) -> None:
         self._under_way.discard(task)
         if not task.cancelled():
-            # A caller that went away is nobody to raise to.
+            # Mark the exception as retrieved: the caller may be cancelled.
             task.exception()
 
-    # What users of the log see.
+    # Public interface.
 
     @property
     def member(self) -> Member:
@@ -281,12 +293,15 @@
 
     @property
     def snapshot_index(self) -> int:
-        """Index up to which the log was replaced by a snapshot."""
+        """Index of the last entry covered by the snapshot."""
         return self._log.snapshot.index
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads and knows all committed entries."""
+        """Whether this replica leads and has applied its first entry.
+
+        It has then applied all entries committed in earlier terms.
+        """
         return (
             self.role is Role.LEADER
             and self._ready_index > 0
@@ -294,10 +309,11 @@
         )
 
     def holds_lease(self) -> bool:
-        """Whether surely no other replica leads at this moment.
+        """Whether this replica holds the leader lease.
 
-        Followers give no vote for one election timeout after they heard
-        from a leader, so no other can be elected before then.
+        Followers grant no vote for one election timeout after contact with
+        a leader, so no other leader can be elected before then. The lease
+        is shortened by the clock drift.
         """
         if not self.is_leader or self._transferring:
             return False
@@ -305,11 +321,15 @@
         return self._clock.now() < self._quorum_acked_at() + sure_s
 
     async def propose(self, command: bytes) -> object:
-        """Commit a command and return what the machine made of it.
+        """Commit a command and return the state machine's result.
 
         Raises:
-            NotLeaderError: this replica does not lead; nothing was done.
-            UnknownOutcomeError: leadership was lost; it may yet commit.
+            NotLeaderError: this replica is not the leader, holds no lease, or
+                its entry was overwritten; the command is not applied.
+            ReplicaFailedError: this replica has failed; the command was
+                not appended.
+            UnknownOutcomeError: leadership was lost; the command may still
+                be committed.
         """
         if not self.holds_lease():
             raise self.not_leader()
@@ -318,10 +338,10 @@
 
     @property
     def hears_leader(self) -> bool:
-        """Whether a leader was heard of late, or this replica leads.
+        """Whether this replica leads or had recent contact with a leader.
 
-        One that has been silent for longer is likely lost; to send a
-        caller there lets him wait for his time-out.
+        A leader that has been silent for longer is probably lost, and a
+        caller that is redirected to it would wait for its timeout.
         """
         if self.role is Role.LEADER:
             return True
@@ -329,27 +349,28 @@
         return self.leader is not None and heard_s < self._timing.doubted_s
 
     def not_leader(self) -> wire.ServingError:
-        """Return the typed error for a call that only a leader answers."""
+        """Return the error for a call that only the leader can serve."""
         if self.role is Role.FAILED:
             return wire.ReplicaFailedError(
-                f"The disk of replica {self.name} failed. Ask another.",
+                f"Replica {self.name} has failed. Ask another replica.",
                 retry_after_s=1.0,
             )
         known = self.leader is not None and self.leader.id != self._me.id
         known = known and self.hears_leader
         return wire.NotLeaderError(
-            f"Replica {self.name} does not lead. Ask the leader.",
+            f"Replica {self.name} is not the leader. Ask the leader.",
             retry_after_s=self._timing.election_s,
             use=self.leader.address if known else None,
         )
 
     async def confirm_lead(self, timeout_s: float) -> None:
-        """Wait until a majority has answered a call sent after this one.
+        """Confirm leadership with a new round of calls to a majority.
 
-        What is read after it is then the newest, whatever the clocks do.
+        A read that follows is linearizable without relying on clocks.
 
         Raises:
-            NotLeaderError: this replica does not lead, or not for sure.
+            NotLeaderError: this replica is not the leader, or no majority
+                answered within *timeout_s*.
         """
         asked_at = self._clock.now()
         for wake in self._wake_by_peer.values():
@@ -361,7 +382,10 @@
         raise self.not_leader()
 
     async def transfer(self) -> None:
-        """Hand leadership to the most advanced voter, as far as possible."""
+        """Transfer leadership to the most up-to-date voter, best effort.
+
+        Unless it is the only voter, this replica steps down in any case.
+        """
         if self.role is not Role.LEADER:
             return
         others = [m for m in self.config.voters if m.id != self._me.id]
@@ -383,23 +407,24 @@
             while self.role is Role.LEADER and self._clock.now() < deadline:
                 await self._clock.sleep(self._timing.heartbeat_s / 10)
         finally:
-            # The heir may stand at any later moment without waiting for
-            # our lease to end, so this lease is never used again.
+            # The successor may start an election at any later moment without
+            # waiting for this lease to expire, so the lease must not be used
+            # again.
             if self.role is Role.LEADER:
-                self._become_follower(None, "handed on")
+                self._become_follower(None, "leadership transferred")
 
     async def form(self) -> None:
-        """Start a new log with all the seeds, which must all be blank.
+        """Form a new log with all seeds as voters; all must be blank.
 
         Raises:
-            ConflictError: a seed already holds a log.
+            ConflictError: a seed already has a log.
         """
         replies = await asyncio.gather(
             *(self._hello_when_started(seed) for seed in self._seeds)
         )
         if not all(reply.blank for reply in replies):
             raise wire.ConflictError(
-                "A replica already holds a log. Start the others and let "
+                "A replica already has a log. Start the others and let "
                 "them join; form only once."
             )
         config = Config(tuple(reply.member for reply in replies))
@@ -408,7 +433,7 @@
             await self._call(member, _messages.FORM, request)
 
     async def _hello_when_started(self, seed: str) -> _messages.HelloReply:
-        """Ask a seed who it is, again while it still reads its disk."""
+        """Send a hello to a seed; retry while it is reading its disk."""
         gives_up_at = self._clock.now() + FORM_WAIT_S
         while True:
             try:
@@ -426,18 +451,18 @@
     # Calls from other replicas.
 
     async def on_hello(self, _: _messages.Hello) -> _messages.HelloReply:
-        """Say who this replica is."""
+        """Return the identity of this replica and its known leader."""
         self._check_loaded()
         return _messages.HelloReply(
             self._me, not self.config.voters, self.leader
         )
 
     async def on_form(self, request: _messages.FormRequest) -> _messages.Empty:
-        """Take the first configuration, if blank."""
+        """Store the first configuration of a blank replica."""
         self._check_to(request.to)
         async with self._lock:
             if self.last_index > 0:
-                raise wire.ConflictError("This replica already holds a log.")
+                raise wire.ConflictError("This replica already has a log.")
             data = wire.encode(request.config)
             entry = Entry(1, 1, _messages.EntryKind.CONFIG, data)
             self._add_entry(entry)
@@ -447,7 +472,10 @@
     async def on_vote(
         self, request: _messages.VoteRequest
     ) -> _messages.VoteReply:
-        """Give or refuse a vote; a given vote is on disk first."""
+        """Grant or refuse a vote; a granted vote is synced before the reply.
+
+        A granted pre-vote is not stored.
+        """
         self._check_to(request.to)
         async with self._lock:
             self._check_disk()
@@ -457,7 +485,7 @@
                 return _messages.VoteReply(self.term, not why, why)
             await self._steps.reach(wire.Step.VOTE, wire.Phase.BEFORE)
             if request.term > self.term:
-                self._become_follower(None, "voted for another")
+                self._become_follower(None, "voted for another candidate")
             self._heard_at = self._clock.now()
             await self._save_vote(
                 _messages.Vote(request.term, request.candidate)
@@ -468,7 +496,7 @@
     async def on_append(
         self, request: _messages.AppendRequest
     ) -> _messages.AppendReply:
-        """Take entries from the leader; they are on disk before the reply."""
+        """Append entries from the leader; they are synced before the reply."""
         self._check_to(request.to)
         async with self._lock:
             self._check_disk()
@@ -487,7 +515,7 @@
     async def on_snapshot(
         self, piece: _messages.SnapshotPiece
     ) -> _messages.AppendReply:
-        """Take a part of a snapshot; install it after the last."""
+        """Store a piece of a snapshot; install it after the last piece."""
         self._check_to(piece.to)
         async with self._lock:
             self._check_disk()
@@ -510,7 +538,7 @@
             return self._append_reply(True)
 
     async def on_lead(self, request: _messages.LeadRequest) -> _messages.Empty:
-        """Stand for election at once, on the leader's own word."""
+        """Start an election at once, as the leader transfers leadership."""
         self._check_to(request.to)
         if request.term == self.term:
             self._handed_in = request.term
@@ -518,7 +546,7 @@
         return _messages.Empty()
 
     async def on_join(self, request: _messages.JoinRequest) -> _messages.Empty:
-        """Start to bring a replica in, through the learner stage."""
+        """Start to add a replica, first as a learner."""
         if not self.is_leader:
             raise self.not_leader()
         name = request.member.name
@@ -530,14 +558,14 @@
         return _messages.Empty()
 
     def _check_loaded(self) -> None:
-        """Refuse calls that come before the disk was read.
+        """Refuse calls that arrive before the durable state is loaded.
 
-        A vote, an acknowledgement or an id given until then would be that
-        of another replica, which has no past.
+        Until then the replica would answer as a blank one, and its votes,
+        acknowledgements and id would contradict its durable state.
         """
         if not self._loaded:
             raise wire.StartingError(
-                f"Replica {self.name} reads its disk. Ask again soon.",
+                f"Replica {self.name} is reading its disk. Retry soon.",
                 retry_after_s=self._timing.heartbeat_s,
             )
 
@@ -545,8 +573,8 @@
         self._check_loaded()
         if to != self._me.id:
             raise wire.NotFoundError(
-                f"Replica {to} is not here; this is {self._me.id}. Its disk "
-                "was replaced."
+                f"Replica {to} is not at this address; this is {self._me.id}. "
+                "Its disk was replaced."
             )
 
     def _check_disk(self) -> None:
@@ -556,14 +584,15 @@
     # Elections.
 
     def _refusal(self, request: _messages.VoteRequest) -> str:
-        """Return why no vote is given; empty when it is.
+        """Return why a vote is refused; empty when it is granted.
 
-        Why stands in lines of the log and is for people only.
+        The reason is for log lines only; no code depends on it.
         """
         heard_s = self._clock.now() - self._heard_at
         waits = heard_s < self._timing.election_s and not request.transfer
-        # Who heard no leader since its start waits only for the lease of
-        # one that still leads, and a leader does not give its vote.
+        # Without contact with a leader since the start, waiting only protects
+        # the lease of a leader elected before; such a leader refuses its vote,
+        # so a unanimous election fails while it leads.
         alone = request.unanimous and not self._heard_leader
         if request.term < self.term:
             return "old term"
@@ -592,7 +621,8 @@
             if self.role is Role.LEADER:
                 self._check_quorum()
                 continue
-            # The word of a leader of an earlier term passes by no lease.
+            # A transfer from an earlier term must not bypass the lease of
+            # the present leader.
             handed = self._handed_in == self.term
             transfer = self._stand_now.is_set() and handed
             self._stand_now.clear()
@@ -609,10 +639,10 @@
                 await self._stand(transfer)
 
     async def _stand_early(self) -> None:
-        """Stand before the usual wait, for the votes of all.
+        """Run elections that need all votes, before the election timeout.
 
-        After a start of all replicas at once nobody can hold a lease, and
-        unanimous votes show that it is so.
+        When all replicas start at once there is no leader lease to wait for,
+        and the votes of all voters prove it.
         """
         if not self.config.voters:
             return
@@ -643,13 +673,14 @@
         silent_s = self._clock.now() - self._quorum_acked_at()
         if silent_s > self._timing.election_s:
             logging.info(
-                "quorum: No majority answers. silent_s=%.3f", silent_s
+                "quorum: Lost contact with a majority. silent_s=%.3f", silent_s
             )
-            self._become_follower(None, f"unanswered {silent_s:.3f} s")
+            self._become_follower(None, f"no majority for {silent_s:.3f} s")
 
     async def _stand(self, transfer: bool, unanimous: bool = False) -> None:
         logging.info(
-            "quorum: Stands. term=%d heard_s=%.3f transfer=%s unanimous=%s",
+            "quorum: Starting election. "
+            "term=%d heard_s=%.3f transfer=%s unanimous=%s",
             self.term,
             self._clock.now() - self._heard_at,
             transfer,
@@ -658,10 +689,11 @@
         term, heard_at = self.term, self._heard_at
         self._answer_by_name.clear()
         if transfer:
-            # The leader that asked for this stand may be heard meanwhile.
+            # Contact with the leader that requested the transfer must not
+            # cancel this election.
             heard_at = float("inf")
         elif not await self._passes_before(unanimous):
-            self._note_stand("no word", heard_at, unanimous)
+            self._note_stand("pre-vote failed", heard_at, unanimous)
             if unanimous:
                 return
             self._heard_at = max(
@@ -670,7 +702,7 @@
             return
         async with self._lock:
             if not self._still_stands(term, heard_at):
-                self._note_stand("another ahead", heard_at, unanimous)
+                self._note_stand("overtaken in pre-vote", heard_at, unanimous)
                 return
             self._become_follower(None)
             self.role = Role.CANDIDATE
@@ -680,7 +712,7 @@
         won = await self._ask_votes(False, transfer, unanimous)
         async with self._lock:
             still = self.role is Role.CANDIDATE and self.term == term
-            end = ("won" if won else "not won") if still else "overtaken"
+            end = ("won" if won else "not elected") if still else "overtaken"
             self._note_stand(end, heard_at, unanimous)
             if not still:
                 return
@@ -691,19 +723,19 @@
                 self._back_off()
 
     async def _passes_before(self, unanimous: bool) -> bool:
-        """Ask whether votes would be given; raises no term."""
+        """Run the pre-vote; it does not increase the term."""
         if not self._takes_turn(self._me.id):
             return False
         return await self._ask_votes(True, False, unanimous)
 
     def _takes_turn(self, candidate: str) -> bool:
-        """Whether no other candidate has this replica's word for now.
+        """Reserve this replica's pre-vote; False if another candidate has it.
 
-        Of candidates that stand within moments only one passes the vote
-        before the vote. Two that did would raise their terms, and the one
-        that loses could depose the winner by a higher term. A word binds
-        for PRE_VOTE_HOLD only and is no vote: it keeps nobody's lease, and
-        to refuse it is always safe.
+        Of candidates that stand at almost the same time only one passes the
+        pre-vote. If two did, both would increase their terms, and the loser
+        could depose the winner with a higher term. A reservation expires
+        after PRE_VOTE_HOLD. It is not a vote and protects no lease, and
+        refusing a pre-vote is always safe.
         """
         now = self._clock.now()
         other = self._word_for not in (None, candidate)
@@ -714,20 +746,22 @@
         return True
 
     def _still_stands(self, term: int, heard_at: float) -> bool:
-        """Whether nothing came meanwhile that ends a stand for this term.
+        """Whether an election may go on after its pre-vote.
 
-        A vote given, a leader heard or a term learned while the votes were
-        asked for shows that another is ahead. Standing on with a higher
-        term would depose it, and win nothing from who has just voted.
+        A vote granted, contact with a leader or a new term during the
+        pre-vote shows that another candidate is ahead. An election with a
+        higher term would depose it, and voters that have just voted would
+        refuse.
         """
         if self.role is not Role.FOLLOWER or self.term != term:
             return False
         return self._heard_at <= heard_at
 
     def _back_off(self) -> None:
-        """Wait at random before standing again after a split vote.
+        """Back off at random after a lost election.
 
-        Replicas that stand at the same moment would else do so for ever.
+        Without it, candidates that stand at the same time could split the
+        vote for ever.
         """
         pause_s = self._timing.election_s * self._rng.uniform(0.1, 1.2)
         self._stands_after = self._clock.now() + pause_s
@@ -792,11 +826,11 @@
 
     async def _adopt_term(self, term: int) -> None:
         if term > self.term:
-            self._become_follower(None, f"term {term} heard")
+            self._become_follower(None, f"learned of term {term}")
             await self._save_vote(_messages.Vote(term, None))
 
     async def _follow(self, term: int, leader: Member) -> bool:
-        """Accept a leader of this term; False when it is an old one."""
+        """Accept the sender as leader; False when its term is stale."""
         if term < self.term:
             return False
         await self._adopt_term(term)
@@ -804,12 +838,12 @@
             self._become_follower(leader)
         if self.leader is None or self.leader.id != leader.id:
             logging.info(
-                "quorum: Follows %s. term=%d last=%d",
+                "quorum: Following leader %s. term=%d last=%d",
                 leader.id,
                 term,
                 self.last_index,
             )
-            self._note_role("follows", f"heard {leader.name}")
+            self._note_role("follows", f"heard from {leader.name}")
         self.leader = leader
         self._heard_leader = True
         self._heard_at = self._clock.now()
@@ -823,22 +857,22 @@
         self._ready_index = 0
         if was_leader:
             logging.info(
-                "quorum: Leads no more. term=%d commit=%d",
+                "quorum: No longer leader. term=%d commit=%d",
                 self.term,
                 self.commit,
             )
-            self._note_role("leads no more", why, self._answered_s())
+            self._note_role("no longer leads", why, self._answered_s())
             self._heard_at = self._clock.now()
             self._fail_waiters()
             self._stop_replicators()
 
     def _become_leader(self, asked_at: float) -> None:
-        """Lead; the lease counts from when votes were asked for."""
+        """Become the leader; the lease starts when votes were requested."""
         self.role = Role.LEADER
         self.leader = self._me
         self._heard_leader = True
         logging.info(
-            "quorum: Leads. term=%d last=%d commit=%d",
+            "quorum: Became leader. term=%d last=%d commit=%d",
             self.term,
             self.last_index,
             self.commit,
@@ -851,7 +885,7 @@
         self._ready_index = self._append_local(_messages.EntryKind.NOOP, b"")
         self._start_replicators()
 
-    # What a witness is told.
+    # Election events.
 
     def _note_role(
         self,
@@ -872,7 +906,10 @@
         self.witness.saw("role", fields)
 
     def _answered_s(self) -> dict[str, float]:
-        """Return how long ago what each peer answered last was sent."""
+        """Return the age of the last answered call to each peer, by name.
+
+        The age counts from when the call was sent.
+        """
         now = self._clock.now()
         return {
             peer.name: round(now - self._acked_by_peer[peer.id], 3)
@@ -913,7 +950,7 @@
                         retry_after_s=self._timing.election_s,
                     )
                 )
-                # A waiter whose caller went away is nobody's to read.
+                # Mark the exception as retrieved: the caller may be cancelled.
                 waiter.done.exception()
         self._waiter_by_index.clear()
 
@@ -970,13 +1007,13 @@
         for entry in loaded.entries:
             self._add_entry(entry)
         self._on_disk = self.last_index
-        # A vote may have been refused just before the restart because a
-        # leader had been heard, so wait as if it had been heard when this
-        # process started; nothing was heard or promised after that.
+        # The process before the restart may have had contact with a leader,
+        # which relies on its lease. Count the wait from the start of this
+        # process: there was no contact after that.
         self._heard_at = self._clock.now()
         if self._started_at is not None:
             self._heard_at = min(self._heard_at, self._started_at)
-            # Those that start together would else stand together.
+            # Replicas that start together must not stand together.
             spread_s = self._timing.election_s * START_SPREAD
             self._stands_after = self._clock.now() + self._rng.uniform(
                 0.0, spread_s
@@ -1041,9 +1078,9 @@
         self._on_disk = last
 
     def _fail(self, error: BaseException) -> None:
-        """Stop for good: what a failed sync left on disk is not known."""
+        """Fail for good: after a failed sync the disk content is unknown."""
         self.error = error
-        self._become_follower(None, "the disk failed")
+        self._become_follower(None, "replica failed")
         self.role = Role.FAILED
 
     # Replication.
@@ -1080,7 +1117,7 @@
                 await wire.wait_event(wake, self._timing.heartbeat_s)
 
     async def _send_next(self, peer: Member) -> bool:
-        """Send what the peer needs next; True when there is more."""
+        """Send the next entries or a snapshot; True when there is more."""
         following = self._next_by_peer[peer.id]
         if following <= self._log.snapshot.index:
             await self._send_snapshot(peer)
@@ -1134,7 +1171,10 @@
                 return
             self._acked_by_peer[peer.id] = sent_at
             if not reply.success:
-                raise wire.PeerLostError("The snapshot must start again.")
+                raise wire.PeerLostError(
+                    f"{peer.name} refused piece {number} of the snapshot; "
+                    "it must be sent again from the start."
+                )
         self._next_by_peer[peer.id] = meta.index + 1
 
     async def _still_leading(
@@ -1145,7 +1185,10 @@
         return self.role is Role.LEADER and self.term == term
 
     def _quorum_acked_at(self) -> float:
-        """Return when the latest call that a majority answered was sent."""
+        """Return the latest time at or after which a majority was called.
+
+        Only answered calls count, by the time at which they were sent.
+        """
         now = self._clock.now()
         times = [
             now if m.id == self._me.id else self._acked_by_peer.get(m.id, 0.0)
@@ -1236,7 +1279,7 @@
     # Membership.
 
     async def _join(self) -> None:
-        """Ask to be a voter for as long as this replica is none."""
+        """Ask to join while this replica is not a voter."""
         while True:
             if self._forms and not self.config.voters:
                 await self._form_first()
@@ -1248,9 +1291,10 @@
                     break
 
     def _is_left_out(self) -> bool:
-        """Whether this replica may have been let go while it was away.
+        """Whether this replica may have been removed while it was away.
 
-        Nobody tells it: its own configuration still says that it votes.
+        A removed replica is not notified: its own configuration still lists
+        it as a voter.
         """
         heard_s = self._clock.now() - self._heard_at
         return self.role is not Role.LEADER and (
@@ -1258,7 +1302,7 @@
         )
 
     async def _form_first(self) -> None:
-        """Form the log, if this is the first of the seeds."""
+        """Form the log if this seed has the lowest address (as a string)."""
         if not self._seeds or self._address != min(self._seeds):
             return
         with contextlib.suppress(wire.ServingError):
@@ -1282,13 +1326,14 @@
         return False
 
     async def _bring_in(self, member: Member) -> None:
-        """Learner first, then voter in the place of its old self.
-
-        Old and new self change places in one step. That is safe because
-        the old self lost its disk, so it can never vote or acknowledge
-        again, and because the new one already holds every committed
-        entry. Adding first would need three of four voters meanwhile, so
-        that a second loss at that moment would stop the log for good.
+        """Add a replica as a learner, then as a voter once it caught up.
+
+        It replaces a voter of the same name in one step. That is safe
+        because the earlier replica lost its disk, so it can never vote or
+        acknowledge again, and because the new one already has every
+        committed entry. Adding the new voter first would need three of four
+        voters until the removal, and the loss of one more replica at that
+        moment would stop the log for good.
         """
         if self.config.has_voter(member.id):
             return
@@ -1303,30 +1348,34 @@
             await self._change(lambda config: self._with_voter(config, member))
             if self.config.has_voter(member.id):
                 logging.info(
-                    "quorum: Brings in %s as a voter. voters=%d",
+                    "quorum: Added %s as a voter. voters=%d",
                     member.id,
                     len(self.config.voters),
                 )
             await self._steps.reach(wire.Step.JOIN, wire.Phase.AFTER)
 
     def _has_place(self, config: Config, member: Member) -> bool:
-        """Whether a replica may vote: its old self does, or too few do."""
+        """Whether a replica may become a voter without removing another.
+
+        It may replace a voter of its own name, or fill a free place.
+        """
         comes_back = any(voter.name == member.name for voter in config.voters)
         if comes_back or self._max_voters is None:
             return True
         return len(config.voters) < self._max_voters
 
     def _with_voter(self, config: Config, member: Member) -> Config:
-        """Another may have taken the place since it was looked for."""
+        """Add a voter, unless another replica has taken the free place."""
         if not self._has_place(config, member):
             return config
         return _membership.with_voter(config, member)
 
     async def _make_room(self, member: Member) -> bool:
-        """Let a voter go when there are enough; False if all are to stay.
+        """Make room for a voter; False when no voter may be removed.
 
-        Its disk may still exist, so it goes in a step of its own: after
-        that no majority of the old and the new voters can be disjoint.
+        The disk of a removed voter may still exist, so its removal is a
+        change of its own: every majority of the old voters then overlaps
+        every majority of the new ones.
         """
         if self._has_place(self.config, member):
             return True
@@ -1351,11 +1400,12 @@
         return next(silent, None)
 
     def _crowded_voter(self, member: Member) -> Member | None:
-        """Return a voter of a domain with two voters more than the member's.
+        """Return a voter to replace for a better spread over the domains.
 
-        With the voters spread evenly, the loss of a whole domain leaves a
-        majority wherever that can be. Each exchange makes them more even,
-        so that exchanges end.
+        It is of the domain with most voters, which has at least two more
+        than the domain of *member*. With an even spread, the loss of a whole
+        domain leaves a majority wherever that is possible. Each replacement
+        makes the spread more even, so replacements end.
         """
         counts = collections.Counter(v.domain for v in self.config.voters)
         others = [v for v in self.config.voters if v.id != self._me.id]
@@ -1366,12 +1416,13 @@
         return crowded if more > 1 else None
 
     async def _wait_caught_up(self, member: Member) -> None:
-        """Wait until a learner has all that is committed.
+        """Wait until a learner has every committed entry.
 
         Raises:
-            NotLeaderError: this replica leads no more.
-            PeerLostError: the learner is gone. It may have lost its disk
-                again, and its next self can't be brought in meanwhile.
+            NotLeaderError: this replica is no longer the leader.
+            PeerLostError: the learner does not answer. It may have lost its
+                disk again, and the replica that replaces it can't be added
+                while this wait lasts.
         """
         while self._match_by_peer.get(member.id, 0) < self.commit:
             if not self.is_leader:
@@ -1383,7 +1434,12 @@
     async def _change(
         self, edit: collections.abc.Callable[[Config], Config]
     ) -> None:
-        """Commit a configuration that differs by one member at most."""
+        """Commit an edited configuration once the one before is committed.
+
+        Args:
+            edit: returns a configuration in which at most one voter is
+                added, removed or replaced.
+        """
         while self._log.config_index > self.commit and self.is_leader:
             await self._clock.sleep(self._timing.heartbeat_s / 4)
         if not self.holds_lease():
