--- a/libs/quorum/src/bergamotsail/quorum/__init__.py
+++ b/libs/quorum/src/bergamotsail/quorum/__init__.py
@@ -1,9 +1,9 @@
-"""A replicated log with durable votes, snapshots and membership change.
+"""A Raft log with durable votes, snapshots and membership changes.
 
-The node knows nothing of what its commands mean: it hands them, once
-committed, to a :class:`Machine`. It is Raft with pre-vote, check-quorum, a
-leader lease, single-server membership change through a learner stage, and
-a sync to disk before every vote and acknowledgement.
+Commands are opaque to the node, which applies them to a :class:`Machine` once
+they are committed. The variant has pre-vote, check-quorum, a leader lease,
+single-server membership changes through a learner stage, and a sync to disk
+before every vote and acknowledgement.
 """
 
 from bergamotsail.quorum import _disk
--- a/libs/quorum/src/bergamotsail/quorum/_disk.py
+++ b/libs/quorum/src/bergamotsail/quorum/_disk.py
@@ -1,4 +1,4 @@
-"""The data folder, behind an interface so that tests can break it."""
+"""File access to the data folder; tests inject disk faults behind it."""
 
 import abc
 import asyncio
@@ -9,38 +9,38 @@
 
 
 class DiskError(OSError):
-    """A write or sync that did not happen; nothing may be acknowledged."""
+    """A disk operation failed; the data must not be acknowledged."""
 
 
 class Disk(abc.ABC):
-    """Files by name in one folder; only synced data lasts."""
+    """Files by name in one folder; only synced data is durable."""
 
     @abc.abstractmethod
     async def read(self, name: str) -> bytes | None:
-        """Return the content, or None when there is no such file."""
+        """Return the content, or None when the file does not exist."""
 
     @abc.abstractmethod
     async def append(self, name: str, data: bytes) -> None:
-        """Append, without promise that it lasts."""
+        """Append data, which is durable only after ``sync``."""
 
     @abc.abstractmethod
     async def sync(self, name: str) -> None:
-        """Make all that was appended to the file last."""
+        """Make all data appended to the file durable."""
 
     @abc.abstractmethod
     async def truncate(self, name: str, size: int) -> None:
-        """Cut the file to *size* bytes and sync it."""
+        """Truncate the file to *size* bytes and sync it."""
 
     @abc.abstractmethod
     async def rename(self, old: str, new: str) -> None:
-        """Put a synced file in another's place, atomically and durably."""
+        """Rename a synced file over *new*, atomically and durably."""
 
     @abc.abstractmethod
     async def remove(self, name: str) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Write a whole file, atomically and durably."""
+        """Replace the content of a file, atomically and durably."""
         temporary = f"{name}.new"
         await self.remove(temporary)
         await self.append(temporary, data)
@@ -49,7 +49,10 @@
 
 
 class FolderDisk(Disk):
-    """A real folder. Blocking calls run in the loop's thread pool."""
+    """A folder of the file system.
+
+    Reads, writes and syncs run in the event loop's default thread pool.
+    """
 
     def __init__(self, folder: str | pathlib.Path) -> None:
         self._folder = pathlib.Path(folder)
@@ -115,10 +118,10 @@
 
 
 async def _to_its_end(done: asyncio.Future) -> object:
-    """Wait for a thread's work even when the waiting task is cancelled.
+    """Wait for work in a thread, even when the waiting task is cancelled.
 
-    The work can't be stopped, and its file may not be closed or written by
-    anything else before it is over.
+    The work can't be interrupted, and its file must not be closed or written
+    by other code until it ends.
     """
     try:
         return await asyncio.shield(done)
@@ -139,6 +142,6 @@
     except OSError as error:
         raise DiskError(
             error.errno,
-            f"The data folder failed ({error}). Check space and disk, then "
-            "restart this replica.",
+            f"Access to the data folder failed ({error}). Check the disk and "
+            "its free space, then restart this replica.",
         ) from error
--- a/libs/quorum/src/bergamotsail/quorum/_log.py
+++ b/libs/quorum/src/bergamotsail/quorum/_log.py
@@ -1,4 +1,4 @@
-"""The part of the log that is not yet in a snapshot, in memory."""
+"""In-memory log: the entries after the last snapshot."""
 
 import collections.abc
 
@@ -13,8 +13,8 @@
 class Log:
     """Entries after the snapshot, and the configurations they set.
 
-    A configuration counts from the moment its entry is in the log, whether
-    committed or not; when the entry is cut off, the one before counts.
+    A configuration takes effect when its entry is appended, whether it is
+    committed or not; when the entry is truncated, the previous one applies.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         return self._configs[-1][0]
 
     def config_at(self, index: int) -> Config:
-        """Return the configuration in force at an index."""
+        """Return the latest configuration at or before an index."""
         return [config for at, config in self._configs if at <= index][-1]
 
     def entry_at(self, index: int) -> Entry:
@@ -48,7 +48,7 @@
         return self._entries[index - self.snapshot.index - 1]
 
     def term_at(self, index: int) -> int:
-        """Return the term at an index, the snapshot's included."""
+        """Return the term of an entry, or of the snapshot's last entry."""
         if index == self.snapshot.index:
             return self.snapshot.term
         return self.entry_at(index).term
@@ -58,14 +58,14 @@
         return tuple(self.entry_at(i) for i in range(first, last + 1))
 
     def matches(self, index: int, term: int) -> bool:
-        """Whether this log holds an entry of this term at an index."""
+        """Whether the entry at *index* has this term."""
         if index <= self.snapshot.index:
-            # A snapshot holds committed entries only, so they match.
+            # A snapshot covers only committed entries, which always match.
             return True
         return index <= self.last_index and self.term_at(index) == term
 
     def add(self, entry: Entry) -> None:
-        """Append an entry."""
+        """Append an entry, and apply a configuration in it at once."""
         self._entries.append(entry)
         if entry.kind is _messages.EntryKind.CONFIG:
             config = wire.decode(entry.data, Config)
@@ -77,14 +77,14 @@
         self._configs = [(at, c) for at, c in self._configs if at <= index]
 
     def compact(self, meta: SnapshotMeta) -> None:
-        """Drop what a snapshot of this log now stands for."""
+        """Discard the entries that a snapshot of this log now covers."""
         del self._entries[: meta.index - self.snapshot.index]
         later = [(at, c) for at, c in self._configs if at > meta.index]
         self._configs = [(meta.index, meta.config), *later]
         self.snapshot = meta
 
     def restart(self, meta: SnapshotMeta) -> None:
-        """Start anew after a snapshot."""
+        """Discard all entries and continue from a snapshot."""
         self._entries.clear()
         self._configs = [(meta.index, meta.config)]
         self.snapshot = meta
--- a/libs/quorum/src/bergamotsail/quorum/_machine.py
+++ b/libs/quorum/src/bergamotsail/quorum/_machine.py
@@ -1,11 +1,11 @@
-"""What the log drives."""
+"""Interface of the replicated state machine."""
 
 import abc
 import collections.abc
 
 
 class Machine(abc.ABC):
-    """What committed commands act on. It must be deterministic."""
+    """A state machine; it must be deterministic."""
 
     @abc.abstractmethod
     def apply(self, index: int, command: bytes) -> object:
@@ -13,13 +13,14 @@
 
     @abc.abstractmethod
     def snapshot(self) -> collections.abc.Iterator[bytes]:
-        """Return the state in lines.
+        """Return the state as lines.
 
-        The iterator is read later, so it holds a frozen copy.
+        The state may change while the iterator is read, so the iterator must
+        read from a copy taken at the call.
         """
 
     @abc.abstractmethod
     def restore(
         self, index: int, lines: collections.abc.Iterable[bytes]
     ) -> None:
-        """Replace the state by a snapshot taken at *index*."""
+        """Replace the state with the lines of a snapshot at *index*."""
--- a/libs/quorum/src/bergamotsail/quorum/_membership.py
+++ b/libs/quorum/src/bergamotsail/quorum/_membership.py
@@ -1,4 +1,7 @@
-"""Changes of the configuration, by one member at a time."""
+"""Single-server changes of the configuration.
+
+Each function returns the new configuration.
+"""
 
 from bergamotsail.quorum import _messages
 
@@ -7,7 +10,10 @@
 
 
 def with_learner(config: Config, member: Member) -> Config:
-    """Add a learner, in the place of an earlier one of its name."""
+    """Add a learner, replacing a learner of the same name.
+
+    The configuration stays as it is when the replica is already in it.
+    """
     if any(m.id == member.id for m in config.members):
         return config
     learners = tuple(m for m in config.learners if m.name != member.name)
@@ -15,13 +21,13 @@
 
 
 def without_voter(config: Config, member: Member) -> Config:
-    """Let a voter go."""
+    """Remove a voter."""
     voters = tuple(m for m in config.voters if m.id != member.id)
     return Config(voters, config.learners)
 
 
 def with_voter(config: Config, member: Member) -> Config:
-    """Make a learner a voter, in the place of its old self if it has one."""
+    """Promote a learner to voter, replacing a voter of the same name."""
     if config.has_voter(member.id):
         return config
     learners = tuple(m for m in config.learners if m.id != member.id)
--- a/libs/quorum/src/bergamotsail/quorum/_messages.py
+++ b/libs/quorum/src/bergamotsail/quorum/_messages.py
@@ -1,4 +1,4 @@
-"""What replicas say to each other and keep on disk."""
+"""Messages between replicas, and records that are stored on disk."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class EntryKind(enum.StrEnum):
-    """What a log entry is for."""
+    """Purpose of a log entry."""
 
     COMMAND = "command"
     NOOP = "noop"
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the replicated log."""
+    """One entry of the replicated log; *data* depends on its kind."""
 
     index: int
     term: int
@@ -26,9 +26,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """A replica. Its id is new with every blank disk; its name stays.
+    """A replica of the log.
 
-    All replicas of one *domain*, such as a data centre, may be lost at once.
+    The id is created with its data folder, so a replaced disk changes it; the
+    name stays. *domain* is the failure domain, such as a data centre: all
+    replicas in it may be lost at once.
     """
 
     id: str
@@ -39,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Config:
-    """Who votes and who is still catching up."""
+    """The voters, and the learners that still catch up."""
 
     voters: tuple[Member, ...] = ()
     learners: tuple[Member, ...] = ()
@@ -51,7 +53,7 @@
 
     @property
     def majority(self) -> int:
-        """How many voters make a quorum."""
+        """Number of voters in a quorum."""
         return len(self.voters) // 2 + 1
 
     def has_voter(self, replica_id: str) -> bool:
@@ -61,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Vote:
-    """The durable term and vote of a replica."""
+    """The current term of a replica and its vote in it, as stored."""
 
     term: int = 0
     voted_for: str | None = None
@@ -69,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotMeta:
-    """Which prefix of the log a snapshot stands for."""
+    """Last index and term covered by a snapshot, and its configuration."""
 
     index: int
     term: int
@@ -78,12 +80,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Ask for a vote, or with *pre* whether one would be given.
+    """Request a vote, or with *pre* a pre-vote.
 
-    A *transfer* is asked for by the leader itself, so the receiver need
-    not wait until it has not heard from it. With *unanimous* the vote only
-    counts if all voters give it, so that none of them can be a leader; one
-    that has heard no leader since its start then need not wait either.
+    With *transfer* the leader itself asked for the election, so the receiver
+    may vote within the election timeout after contact with the leader. With
+    *unanimous* the election is won only with the votes of all voters, which
+    shows that none of them is the leader; a receiver that has had no contact
+    with a leader since its start may then vote at once, too.
     """
 
     to: str
@@ -98,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VoteReply:
-    """The answer to a vote request; *why* tells of a refusal."""
+    """Reply to a vote request; *why* is the reason of a refusal."""
 
     term: int
     granted: bool
@@ -107,7 +110,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendRequest:
-    """Entries from the leader; empty as a heartbeat."""
+    """Entries from the leader; without entries it is a heartbeat."""
 
     to: str
     term: int
@@ -120,7 +123,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendReply:
-    """Whether the entries are on the follower's disk."""
+    """Reply to appended entries or a piece of a snapshot.
+
+    *success* says that the entries are synced or the piece is accepted.
+    *last_index* is the last index of the follower's log; after a successful
+    append it is the last index that the request has shown to match.
+    """
 
     term: int
     success: bool
@@ -129,7 +137,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotPiece:
-    """A part of a snapshot; *number* counts from 0."""
+    """A numbered piece of a snapshot; *number* counts from 0."""
 
     to: str
     term: int
@@ -142,7 +150,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeadRequest:
-    """The leader asks this replica to stand for election now."""
+    """The leader asks a voter to start an election at once (TimeoutNow)."""
 
     to: str
     term: int
@@ -150,17 +158,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Empty:
-    """A reply that says no more than that it was done."""
+    """A reply without content."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """Ask a replica who it is."""
+    """Ask a replica for its identity."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HelloReply:
-    """Who a replica is; *blank* until it holds a log."""
+    """Identity of a replica; *blank* while it has no configuration."""
 
     member: Member
     blank: bool
@@ -169,7 +177,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FormRequest:
-    """Start a new log with these voters, on a blank replica only."""
+    """Form a new log with these voters; only a blank replica accepts it."""
 
     to: str
     config: Config
@@ -177,7 +185,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JoinRequest:
-    """A replica that is not a voter asks to become one."""
+    """Request to become a voter, sent by a replica that may not be one."""
 
     member: Member
 
--- a/libs/quorum/src/bergamotsail/quorum/_storage.py
+++ b/libs/quorum/src/bergamotsail/quorum/_storage.py
@@ -1,11 +1,11 @@
-"""Log, vote and snapshot of one replica on its disk.
-
-A file is a run of records: length, CRC-32C, how much of the file was synced
-when the record was written, and a JSON payload. After a loss of power what
-was not synced is present, missing or torn, in any order. So a bad record is
-the end of the log when nothing after it knows it as synced: it was never
-acknowledged and is cut off. Else it is damage, and the replica refuses to
-start on it.
+"""Durable log, vote and snapshot of one replica.
+
+The log and the snapshot are sequences of records: length, CRC-32C, how many
+bytes of the file were synced when the record was written, and a JSON payload.
+After a power loss, data that was not synced may be present, missing or torn,
+in any order. A bad record therefore ends the log unless a later record shows
+that it was synced: an unsynced record was never acknowledged and is truncated.
+A bad record that was synced is corruption, and the replica refuses to start.
 """
 
 import collections.abc
@@ -30,7 +30,7 @@
 
 
 class CorruptLogError(wire.ServingError):
-    """Damage in the middle of a synced file."""
+    """Corruption in the synced part of a file."""
 
     code = "corrupt_log"
     status = 503
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """The replica id that belongs to this data folder."""
+    """The id and name of the replica that owns this data folder."""
 
     id: str
     name: str
@@ -46,14 +46,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotEnd:
-    """The last record of a snapshot file: how many lines precede it."""
+    """The last record of a snapshot file, with the number of its lines."""
 
     lines: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loaded:
-    """What a replica finds on its disk at start."""
+    """The durable state that a replica loads at start."""
 
     vote: _messages.Vote
     meta: _messages.SnapshotMeta | None
@@ -61,10 +61,11 @@
 
 
 def pack(payload: bytes, synced: int = 0) -> bytes:
-    """Return a record around the payload.
+    """Return a record with this payload.
 
     Args:
-        synced: bytes of the file that were synced before it is written.
+        payload: encoded content of the record.
+        synced: number of bytes of the file that are already synced.
     """
     body = _SYNCED.pack(synced) + payload
     return _HEADER.pack(len(body), google_crc32c.value(body)) + body
@@ -73,14 +74,14 @@
 def unpack(
     data: bytes, offset: int = 0
 ) -> collections.abc.Iterator[tuple[int, bytes]]:
-    """Yield (end offset, payload) of each whole record, up to a bad one."""
+    """Yield (end offset, payload) of each record before the first bad one."""
     while (body := _body_at(data, offset)) is not None:
         offset += _HEADER.size + len(body)
         yield offset, body[_SYNCED.size :]
 
 
 def _body_at(data: bytes, offset: int) -> bytes | None:
-    """Return what follows the header of a whole record, or None."""
+    """Return the body of the record at *offset*, or None when it is bad."""
     if offset + _HEADER.size > len(data):
         return None
     length, checksum = _HEADER.unpack_from(data, offset)
@@ -92,10 +93,10 @@
 
 
 def _damaged_inside(data: bytes, offset: int) -> bool:
-    """Whether a later record knows the bad one at *offset* as synced.
+    """Whether a later record shows that the bad one at *offset* was synced.
 
     The length of the bad record can't be trusted, so every later offset is
-    looked at; the next good record is at most a few hundred bytes away.
+    tried; the next good record is at most a few hundred bytes away.
     """
     for start in range(offset + 1, len(data) - _HEADER.size):
         body = _body_at(data, start)
@@ -107,8 +108,8 @@
 class Storage:
     """The durable state of one replica.
 
-    Entries are appended and synced in one go by ``append``. All methods
-    are called one at a time by the node.
+    Entries written by ``append`` are durable only after ``sync``. The node
+    makes no concurrent calls that write.
     """
 
     def __init__(self, disk: _disk.Disk) -> None:
@@ -118,7 +119,7 @@
         self._synced = 0
 
     async def identity(self, name: str) -> Identity:
-        """Return this folder's replica id, made when it is blank."""
+        """Return the identity in this folder; create it when missing."""
         data = await self._disk.read(IDENTITY)
         if data is not None:
             return wire.decode(data, Identity)
@@ -127,10 +128,11 @@
         return identity
 
     async def load(self) -> Loaded:
-        """Read all, and cut off a torn tail.
+        """Load vote, snapshot metadata and log; truncate a torn log tail.
 
         Raises:
-            CorruptLogError: a record in the middle is damaged, or missing.
+            CorruptLogError: a synced record of the log is damaged or missing,
+                or the snapshot is damaged.
         """
         vote_data = await self._disk.read(VOTE)
         vote = _messages.Vote()
@@ -163,23 +165,23 @@
             if _damaged_inside(data, self._size):
                 raise CorruptLogError(
                     f"The log is damaged at byte {self._size}. Remove the "
-                    "data folder; the replica then joins anew."
+                    "data folder; the replica then joins as a new one."
                 )
             await self._disk.truncate(LOG, self._size)
         if data:
-            # A killed process may have left writes that nobody synced.
+            # A killed process may have left writes that were never synced.
             await self._disk.sync(LOG)
         self._synced = self._size
         return entries
 
     async def save_vote(self, vote: _messages.Vote) -> None:
-        """Make term and vote last."""
+        """Store term and vote durably."""
         await self._disk.replace(VOTE, wire.encode(vote))
 
     async def append(
         self, entries: collections.abc.Sequence[_messages.Entry]
     ) -> None:
-        """Append entries; they last only after ``sync``."""
+        """Append entries; they are durable only after ``sync``."""
         records = [pack(wire.encode(e), self._synced) for e in entries]
         await self._disk.append(LOG, b"".join(records))
         for entry, record in zip(entries, records):
@@ -187,7 +189,7 @@
             self._end_by_index[entry.index] = self._size
 
     async def sync(self) -> None:
-        """Make all appended entries last."""
+        """Make all appended entries durable."""
         size = self._size
         await self._disk.sync(LOG)
         self._synced = size
@@ -209,7 +211,8 @@
         self._size = 0
         self._end_by_index.clear()
         for entry in entries:
-            # The whole file is in place at once, so all before is synced.
+            # The file is synced before it replaces the log, so each record
+            # counts all bytes before it as synced.
             records.append(pack(wire.encode(entry), self._size))
             self._size += len(records[-1])
             self._end_by_index[entry.index] = self._size
@@ -221,7 +224,7 @@
         meta: _messages.SnapshotMeta,
         lines: collections.abc.Iterator[bytes],
     ) -> None:
-        """Write a snapshot and put it in force."""
+        """Write a snapshot and make it the current one."""
         await self.begin_incoming(meta)
         count = 0
         batch: list[bytes] = []
@@ -237,19 +240,19 @@
         await self.finish_incoming(count)
 
     async def begin_incoming(self, meta: _messages.SnapshotMeta) -> None:
-        """Start a snapshot beside the one in force."""
+        """Start a new snapshot file next to the current one."""
         await self._disk.remove(INCOMING)
         await self._disk.append(INCOMING, pack(wire.encode(meta)))
 
     async def add_incoming(
         self, lines: collections.abc.Sequence[bytes]
     ) -> None:
-        """Add lines to the started snapshot."""
+        """Append lines to the incoming snapshot."""
         data = b"".join(pack(line) for line in lines)
         await self._disk.append(INCOMING, data)
 
     async def finish_incoming(self, count: int) -> None:
-        """Sync the started snapshot and put it in force."""
+        """Sync the incoming snapshot and make it the current one."""
         end = pack(wire.encode(SnapshotEnd(count)))
         await self._disk.append(INCOMING, end)
         await self._disk.sync(INCOMING)
@@ -258,7 +261,7 @@
     async def read_snapshot(
         self,
     ) -> tuple[_messages.SnapshotMeta, list[bytes]] | None:
-        """Return the snapshot in force, or None."""
+        """Return metadata and lines of the current snapshot, or None."""
         records = await self._snapshot_records(SNAPSHOT)
         if records is None:
             return None
@@ -284,17 +287,22 @@
 def _check_run(
     entries: collections.abc.Sequence[_messages.Entry], before: int
 ) -> None:
-    """Raise unless the entries follow each other and what is before."""
+    """Raise unless the entries are contiguous from the index after *before*.
+
+    Raises:
+        CorruptLogError: an entry is missing.
+    """
     for expected, entry in enumerate(entries, before + 1):
         if entry.index != expected:
             raise CorruptLogError(
-                f"The log has entry {entry.index} where {expected} belongs. "
-                "Remove the data folder; the replica then joins anew."
+                f"The log has entry {entry.index} where {expected} is "
+                "expected. Remove the data folder; the replica then joins as "
+                "a new one."
             )
 
 
 def _corrupt_snapshot() -> CorruptLogError:
     return CorruptLogError(
         "The snapshot is damaged. Remove the data folder; the replica then "
-        "joins anew."
+        "joins as a new one."
     )
