--- a/libs/quorum/src/bergamotsail/quorum/_disk.py
+++ b/libs/quorum/src/bergamotsail/quorum/_disk.py
@@ -61,24 +61,24 @@
 
     async def read(self, name: str) -> bytes | None:
         try:
-            return await _in_thread((self._folder / name).read_bytes)
+            return await _run_in_thread((self._folder / name).read_bytes)
         except FileNotFoundError:
             return None
 
     async def append(self, name: str, data: bytes) -> None:
-        await _in_thread(self._append, name, data)
+        await _run_in_thread(self._append, name, data)
 
     async def sync(self, name: str) -> None:
-        await _in_thread(os.fdatasync, self._fd(name))
+        await _run_in_thread(os.fdatasync, self._fd(name))
 
     async def truncate(self, name: str, size: int) -> None:
-        await _in_thread(os.ftruncate, self._fd(name), size)
+        await _run_in_thread(os.ftruncate, self._fd(name), size)
         await self.sync(name)
 
     async def rename(self, old: str, new: str) -> None:
         self._close(old)
         self._close(new)
-        await _in_thread(self._rename, old, new)
+        await _run_in_thread(self._rename, old, new)
 
     async def remove(self, name: str) -> None:
         self._close(name)
@@ -117,7 +117,7 @@
             os.close(fd)
 
 
-async def _to_its_end(done: asyncio.Future) -> object:
+async def _wait_until_done(done: asyncio.Future) -> object:
     """Wait for work in a thread, even when the waiting task is cancelled.
 
     The work can't be interrupted, and its file must not be closed or written
@@ -130,13 +130,13 @@
         raise
 
 
-async def _in_thread(
+async def _run_in_thread(
     function: collections.abc.Callable, *args: object
 ) -> object:
     loop = asyncio.get_running_loop()
     done = loop.run_in_executor(None, functools.partial(function, *args))
     try:
-        return await _to_its_end(done)
+        return await _wait_until_done(done)
     except FileNotFoundError:
         raise
     except OSError as error:
--- a/libs/quorum/src/bergamotsail/quorum/_log.py
+++ b/libs/quorum/src/bergamotsail/quorum/_log.py
@@ -53,7 +53,7 @@
             return self.snapshot.term
         return self.entry_at(index).term
 
-    def between(self, first: int, last: int) -> tuple[Entry, ...]:
+    def entries_between(self, first: int, last: int) -> tuple[Entry, ...]:
         """Return the entries from *first* to *last*, both included."""
         return tuple(self.entry_at(i) for i in range(first, last + 1))
 
@@ -71,7 +71,7 @@
             config = wire.decode(entry.data, Config)
             self._configs.append((entry.index, config))
 
-    def cut_after(self, index: int) -> None:
+    def truncate_after(self, index: int) -> None:
         """Remove all entries after an index."""
         del self._entries[index - self.snapshot.index :]
         self._configs = [(at, c) for at, c in self._configs if at <= index]
@@ -83,12 +83,12 @@
         self._configs = [(meta.index, meta.config), *later]
         self.snapshot = meta
 
-    def restart(self, meta: SnapshotMeta) -> None:
+    def reset(self, meta: SnapshotMeta) -> None:
         """Discard all entries and continue from a snapshot."""
         self._entries.clear()
         self._configs = [(meta.index, meta.config)]
         self.snapshot = meta
 
-    def after(self, index: int) -> collections.abc.Sequence[Entry]:
+    def entries_after(self, index: int) -> collections.abc.Sequence[Entry]:
         """Return all entries after an index."""
         return self._entries[index - self.snapshot.index :]
--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -30,23 +30,23 @@
 SNAPSHOT_LINES = 500
 JOIN_INTERVAL_S = 0.5
 CONFIRM_POLL_S = 0.005
-SILENT_VOTER_S = 2.0
-MOST_REDIRECTS = 2
+VOTER_TIMEOUT_S = 2.0
+MAX_REDIRECTS = 2
 # How long forming the log waits for seeds that are still reading their disks.
 FORM_WAIT_S = 5.0
 FORM_RETRY_S = 0.1
 # The constants below are fractions of the election timeout.
 # Random delay of the first normal election after a start, so that replicas
 # that start together don't stand together.
-START_SPREAD = 0.6
+START_JITTER = 0.6
 # Silence of the leader, equal to three default heartbeats, after which
 # callers are no longer redirected to it.
-DOUBTED_SHARE = 0.6
+LEADER_SUSPICION = 0.6
 # Early elections that need the votes of all voters: random delay of the
 # first, mean interval between retries, and timeout of a vote request.
-EARLY_SPREAD = 0.15
-EARLY_RETRY = 0.2
-EARLY_CALL = 0.3
+EARLY_ELECTION_JITTER = 0.15
+EARLY_ELECTION_RETRY = 0.2
+EARLY_VOTE_TIMEOUT = 0.3
 # How long a granted pre-vote excludes other candidates: longer than a
 # vote takes.
 PRE_VOTE_HOLD = 0.1
@@ -83,9 +83,9 @@
     election_spread: float = 2.0
 
     @property
-    def doubted_s(self) -> float:
+    def suspect_after_s(self) -> float:
         """Silence in seconds after which the leader is suspected lost."""
-        return DOUBTED_SHARE * self.election_s
+        return LEADER_SUSPICION * self.election_s
 
 
 class Witness(abc.ABC):
@@ -102,7 +102,7 @@
         """
 
 
-class NoWitness(Witness):
+class NullElectionObserver(Witness):
     """Ignores all events."""
 
     def saw(self, what: str, fields: dict[str, object]) -> None:
@@ -160,7 +160,7 @@
         self.commit = 0
         self.applied = 0
         self.error: BaseException | None = None
-        self.witness: Witness = NoWitness()
+        self.witness: Witness = NullElectionObserver()
         self._address = address
         self._seeds = tuple(seeds)
         self._storage = storage
@@ -174,14 +174,14 @@
         self._me = Member("", name, address, domain)
         self._vote = _messages.Vote()
         self._log = _log.Log()
-        self._on_disk = 0
+        self._synced_index = 0
         self._heard_at = 0.0
         self._stands_after = float("-inf")
-        self._heard_leader = False
-        self._answer_by_name: dict[str, str] = {}
-        self._handed_in = -1
-        self._word_for: str | None = None
-        self._word_until = 0.0
+        self._leader_seen = False
+        self._vote_answer_by_name: dict[str, str] = {}
+        self._transfer_term = -1
+        self._pre_vote_for: str | None = None
+        self._pre_vote_until = 0.0
         self._ready_index = 0
         self._transferring = False
         self._incoming: tuple[_messages.SnapshotMeta, int] | None = None
@@ -189,20 +189,20 @@
         self._lock = asyncio.Lock()
         self._flush_wanted = asyncio.Event()
         self._commit_moved = asyncio.Event()
-        self._stand_now = asyncio.Event()
+        self._election_requested = asyncio.Event()
         self._waiter_by_index: dict[int, _Waiter] = {}
         self._next_by_peer: dict[str, int] = {}
         self._match_by_peer: dict[str, int] = {}
         self._acked_by_peer: dict[str, float] = {}
         self._wake_by_peer: dict[str, asyncio.Event] = {}
         self._replicator_by_peer: dict[str, asyncio.Task] = {}
-        self._joining: dict[str, asyncio.Task] = {}
+        self._join_tasks: dict[str, asyncio.Task] = {}
         self._snapshotting = False
         self._forms = forms
         self._started_at = started_at
         self._max_voters = max_voters
         self._loaded = False
-        self._under_way: set[asyncio.Future] = set()
+        self._shielded_tasks: set[asyncio.Future] = set()
         self._tasks: list[asyncio.Task] = []
 
     async def __aenter__(self) -> "Node":
@@ -215,8 +215,8 @@
         running = [
             *self._tasks,
             *self._replicator_by_peer.values(),
-            *self._joining.values(),
-            *self._under_way,
+            *self._join_tasks.values(),
+            *self._shielded_tasks,
         ]
         for task in running:
             task.cancel()
@@ -241,8 +241,8 @@
             (_messages.SNAPSHOT, self.on_snapshot),
             (_messages.FORM, self.on_form),
         ):
-            to_its_end = functools.partial(self._to_its_end, handler)
-            server.serve(call, to_its_end)
+            uncancellable = functools.partial(self._to_its_end, handler)
+            server.serve(call, uncancellable)
         server.serve(_messages.LEAD, self.on_lead)
         server.serve(_messages.HELLO, self.on_hello)
         server.serve(_messages.JOIN, self.on_join)
@@ -259,12 +259,12 @@
         entries again.
         """
         task = asyncio.ensure_future(work(*args))
-        self._under_way.add(task)
-        task.add_done_callback(self._ended)
+        self._shielded_tasks.add(task)
+        task.add_done_callback(self._on_shielded_task_done)
         return await asyncio.shield(task)
 
-    def _ended(self, task: asyncio.Future) -> None:
-        self._under_way.discard(task)
+    def _on_shielded_task_done(self, task: asyncio.Future) -> None:
+        self._shielded_tasks.discard(task)
         if not task.cancelled():
             # Mark the exception as retrieved: the caller may be cancelled.
             task.exception()
@@ -317,8 +317,8 @@
         """
         if not self.is_leader or self._transferring:
             return False
-        sure_s = self._timing.election_s * (1 - self._timing.drift)
-        return self._clock.now() < self._quorum_acked_at() + sure_s
+        lease_s = self._timing.election_s * (1 - self._timing.drift)
+        return self._clock.now() < self._quorum_acked_at() + lease_s
 
     async def propose(self, command: bytes) -> object:
         """Commit a command and return the state machine's result.
@@ -334,7 +334,7 @@
         if not self.holds_lease():
             raise self.not_leader()
         index = self._append_local(_messages.EntryKind.COMMAND, command)
-        return await self._applied_at(index)
+        return await self._wait_applied(index)
 
     @property
     def hears_leader(self) -> bool:
@@ -346,7 +346,9 @@
         if self.role is Role.LEADER:
             return True
         heard_s = self._clock.now() - self._heard_at
-        return self.leader is not None and heard_s < self._timing.doubted_s
+        return (
+            self.leader is not None and heard_s < self._timing.suspect_after_s
+        )
 
     def not_leader(self) -> wire.ServingError:
         """Return the error for a call that only the leader can serve."""
@@ -393,17 +395,19 @@
             return
         self._transferring = True
         try:
-            heir = max(others, key=lambda m: self._match_by_peer.get(m.id, 0))
+            successor = max(
+                others, key=lambda m: self._match_by_peer.get(m.id, 0)
+            )
             deadline = self._clock.now() + self._timing.election_s
             while (
                 self.role is Role.LEADER
                 and self._clock.now() < deadline
-                and self._match_by_peer.get(heir.id, 0) < self.last_index
+                and self._match_by_peer.get(successor.id, 0) < self.last_index
             ):
                 await self._clock.sleep(self._timing.heartbeat_s / 10)
-            request = _messages.LeadRequest(heir.id, self.term)
+            request = _messages.LeadRequest(successor.id, self.term)
             with contextlib.suppress(wire.ServingError):
-                await self._call(heir, _messages.LEAD, request)
+                await self._call(successor, _messages.LEAD, request)
             while self.role is Role.LEADER and self._clock.now() < deadline:
                 await self._clock.sleep(self._timing.heartbeat_s / 10)
         finally:
@@ -434,7 +438,7 @@
 
     async def _hello_when_started(self, seed: str) -> _messages.HelloReply:
         """Send a hello to a seed; retry while it is reading its disk."""
-        gives_up_at = self._clock.now() + FORM_WAIT_S
+        deadline = self._clock.now() + FORM_WAIT_S
         while True:
             try:
                 return await self._transport.call(
@@ -444,7 +448,7 @@
                     self._timing.call_s,
                 )
             except wire.StartingError:
-                if self._clock.now() >= gives_up_at:
+                if self._clock.now() >= deadline:
                     raise
                 await self._clock.sleep(FORM_RETRY_S)
 
@@ -478,9 +482,9 @@
         """
         self._check_to(request.to)
         async with self._lock:
-            self._check_disk()
-            why = self._refusal(request)
-            self._note_ballot(request, why)
+            self._check_not_failed()
+            why = self._refusal_reason(request)
+            self._emit_vote_request(request, why)
             if why or request.pre:
                 return _messages.VoteReply(self.term, not why, why)
             await self._steps.reach(wire.Step.VOTE, wire.Phase.BEFORE)
@@ -499,12 +503,12 @@
         """Append entries from the leader; they are synced before the reply."""
         self._check_to(request.to)
         async with self._lock:
-            self._check_disk()
-            if not await self._follow(request.term, request.leader):
+            self._check_not_failed()
+            if not await self._accept_leader(request.term, request.leader):
                 return self._append_reply(False)
             if not self._log.matches(request.prev_index, request.prev_term):
                 return self._append_reply(False)
-            await self._take_entries(request.entries)
+            await self._merge_entries(request.entries)
             await self._flush_locked()
             self._heard_at = self._clock.now()
             last = request.prev_index + len(request.entries)
@@ -518,8 +522,8 @@
         """Store a piece of a snapshot; install it after the last piece."""
         self._check_to(piece.to)
         async with self._lock:
-            self._check_disk()
-            if not await self._follow(piece.term, piece.leader):
+            self._check_not_failed()
+            if not await self._accept_leader(piece.term, piece.leader):
                 return self._append_reply(False)
             await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.BEFORE)
             if piece.number == 0:
@@ -541,8 +545,8 @@
         """Start an election at once, as the leader transfers leadership."""
         self._check_to(request.to)
         if request.term == self.term:
-            self._handed_in = request.term
-            self._stand_now.set()
+            self._transfer_term = request.term
+            self._election_requested.set()
         return _messages.Empty()
 
     async def on_join(self, request: _messages.JoinRequest) -> _messages.Empty:
@@ -550,10 +554,10 @@
         if not self.is_leader:
             raise self.not_leader()
         name = request.member.name
-        running = self._joining.get(name)
+        running = self._join_tasks.get(name)
         if running is None or running.done():
-            self._joining[name] = asyncio.create_task(
-                self._bring_in(request.member)
+            self._join_tasks[name] = asyncio.create_task(
+                self._add_replica(request.member)
             )
         return _messages.Empty()
 
@@ -577,42 +581,44 @@
                 "Its disk was replaced."
             )
 
-    def _check_disk(self) -> None:
+    def _check_not_failed(self) -> None:
         if self.role is Role.FAILED:
             raise self.not_leader()
 
     # Elections.
 
-    def _refusal(self, request: _messages.VoteRequest) -> str:
+    def _refusal_reason(self, request: _messages.VoteRequest) -> str:
         """Return why a vote is refused; empty when it is granted.
 
         The reason is for log lines only; no code depends on it.
         """
         heard_s = self._clock.now() - self._heard_at
-        waits = heard_s < self._timing.election_s and not request.transfer
+        within_timeout = (
+            heard_s < self._timing.election_s and not request.transfer
+        )
         # Without contact with a leader since the start, waiting only protects
         # the lease of a leader elected before; such a leader refuses its vote,
         # so a unanimous election fails while it leads.
-        alone = request.unanimous and not self._heard_leader
+        skips_wait = request.unanimous and not self._leader_seen
         if request.term < self.term:
             return "old term"
-        if waits and not alone:
+        if within_timeout and not skips_wait:
             return f"heard {heard_s:.3f} s ago"
         if self.holds_lease() and not request.transfer:
             return "holds the lease"
         if self.role is Role.LEADER and request.term == self.term:
             return "leads"
-        mine = (self._log.term_at(self.last_index), self.last_index)
-        if (request.last_term, request.last_index) < mine:
+        own_last = (self._log.term_at(self.last_index), self.last_index)
+        if (request.last_term, request.last_index) < own_last:
             return "log behind"
         if request.pre:
-            taken = self._takes_turn(request.candidate)
-            return "" if taken else "another's turn"
-        free = self._vote.voted_for in (None, request.candidate)
-        return "" if request.term > self.term or free else "voted"
+            reserved = self._takes_turn(request.candidate)
+            return "" if reserved else "another's turn"
+        vote_available = self._vote.voted_for in (None, request.candidate)
+        return "" if request.term > self.term or vote_available else "voted"
 
     async def _elect(self) -> None:
-        await self._stand_early()
+        await self._run_early_elections()
         while True:
             wait_s = self._timing.election_s * self._rng.uniform(
                 1.0, self._timing.election_spread
@@ -623,9 +629,9 @@
                 continue
             # A transfer from an earlier term must not bypass the lease of
             # the present leader.
-            handed = self._handed_in == self.term
-            transfer = self._stand_now.is_set() and handed
-            self._stand_now.clear()
+            transfer_current = self._transfer_term == self.term
+            transfer = self._election_requested.is_set() and transfer_current
+            self._election_requested.clear()
             heard_s = self._clock.now() - self._heard_at
             if heard_s < wait_s and not transfer:
                 continue
@@ -638,7 +644,7 @@
             with contextlib.suppress(wire.ServingError, _disk.DiskError):
                 await self._stand(transfer)
 
-    async def _stand_early(self) -> None:
+    async def _run_early_elections(self) -> None:
         """Run elections that need all votes, before the election timeout.
 
         When all replicas start at once there is no leader lease to wait for,
@@ -646,13 +652,15 @@
         """
         if not self.config.voters:
             return
-        pause_s = self._timing.election_s * self._rng.uniform(0, EARLY_SPREAD)
-        ends_at = self._heard_at + self._timing.election_s
-        while not self._heard_leader and self._clock.now() < ends_at:
+        pause_s = self._timing.election_s * self._rng.uniform(
+            0, EARLY_ELECTION_JITTER
+        )
+        deadline = self._heard_at + self._timing.election_s
+        while not self._leader_seen and self._clock.now() < deadline:
             await self._clock.sleep(pause_s)
-            pause_s = self._timing.election_s * EARLY_RETRY
+            pause_s = self._timing.election_s * EARLY_ELECTION_RETRY
             pause_s *= self._rng.uniform(0.5, 1.5)
-            if self._heard_leader or self.role is not Role.FOLLOWER:
+            if self._leader_seen or self.role is not Role.FOLLOWER:
                 return
             with contextlib.suppress(wire.ServingError, _disk.DiskError):
                 await self._stand(False, unanimous=True)
@@ -666,7 +674,7 @@
         now = self._clock.now()
         left_s = max(self._heard_at + wait_s, self._stands_after) - now
         await wire.wait_event(
-            self._stand_now, max(left_s, self._timing.heartbeat_s)
+            self._election_requested, max(left_s, self._timing.heartbeat_s)
         )
 
     def _check_quorum(self) -> None:
@@ -686,14 +694,16 @@
             transfer,
             unanimous,
         )
-        term, heard_at = self.term, self._heard_at
-        self._answer_by_name.clear()
+        term, last_contact_at = self.term, self._heard_at
+        self._vote_answer_by_name.clear()
         if transfer:
             # Contact with the leader that requested the transfer must not
             # cancel this election.
-            heard_at = float("inf")
-        elif not await self._passes_before(unanimous):
-            self._note_stand("pre-vote failed", heard_at, unanimous)
+            last_contact_at = float("inf")
+        elif not await self._passes_pre_vote(unanimous):
+            self._emit_election_result(
+                "pre-vote failed", last_contact_at, unanimous
+            )
             if unanimous:
                 return
             self._heard_at = max(
@@ -701,8 +711,10 @@
             )
             return
         async with self._lock:
-            if not self._still_stands(term, heard_at):
-                self._note_stand("overtaken in pre-vote", heard_at, unanimous)
+            if not self._still_stands(term, last_contact_at):
+                self._emit_election_result(
+                    "overtaken in pre-vote", last_contact_at, unanimous
+                )
                 return
             self._become_follower(None)
             self.role = Role.CANDIDATE
@@ -711,10 +723,14 @@
         asked_at = self._clock.now()
         won = await self._ask_votes(False, transfer, unanimous)
         async with self._lock:
-            still = self.role is Role.CANDIDATE and self.term == term
-            end = ("won" if won else "not elected") if still else "overtaken"
-            self._note_stand(end, heard_at, unanimous)
-            if not still:
+            still_candidate = self.role is Role.CANDIDATE and self.term == term
+            end = (
+                ("won" if won else "not elected")
+                if still_candidate
+                else "overtaken"
+            )
+            self._emit_election_result(end, last_contact_at, unanimous)
+            if not still_candidate:
                 return
             if won:
                 self._become_leader(asked_at)
@@ -722,7 +738,7 @@
                 self.role = Role.FOLLOWER
                 self._back_off()
 
-    async def _passes_before(self, unanimous: bool) -> bool:
+    async def _passes_pre_vote(self, unanimous: bool) -> bool:
         """Run the pre-vote; it does not increase the term."""
         if not self._takes_turn(self._me.id):
             return False
@@ -738,14 +754,14 @@
         refusing a pre-vote is always safe.
         """
         now = self._clock.now()
-        other = self._word_for not in (None, candidate)
-        if other and now < self._word_until:
+        other = self._pre_vote_for not in (None, candidate)
+        if other and now < self._pre_vote_until:
             return False
-        self._word_for = candidate
-        self._word_until = now + self._timing.election_s * PRE_VOTE_HOLD
+        self._pre_vote_for = candidate
+        self._pre_vote_until = now + self._timing.election_s * PRE_VOTE_HOLD
         return True
 
-    def _still_stands(self, term: int, heard_at: float) -> bool:
+    def _still_stands(self, term: int, last_contact_at: float) -> bool:
         """Whether an election may go on after its pre-vote.
 
         A vote granted, contact with a leader or a new term during the
@@ -755,7 +771,7 @@
         """
         if self.role is not Role.FOLLOWER or self.term != term:
             return False
-        return self._heard_at <= heard_at
+        return self._heard_at <= last_contact_at
 
     def _back_off(self) -> None:
         """Back off at random after a lost election.
@@ -774,7 +790,7 @@
         others = [m for m in voters if m.id != self._me.id]
         needed = self._votes_needed(unanimous)
         granted = 1
-        ballot = _messages.VoteRequest(
+        template = _messages.VoteRequest(
             "",
             term,
             self._me.id,
@@ -784,17 +800,18 @@
             transfer,
             unanimous,
         )
-        asked = {
-            asyncio.create_task(self._ask_vote(m, ballot)) for m in others
+        pending = {
+            asyncio.create_task(self._request_vote(m, template))
+            for m in others
         }
         try:
-            while granted < needed <= granted + len(asked):
-                done, asked = await asyncio.wait(
-                    asked, return_when=asyncio.FIRST_COMPLETED
+            while granted < needed <= granted + len(pending):
+                done, pending = await asyncio.wait(
+                    pending, return_when=asyncio.FIRST_COMPLETED
                 )
                 granted += sum(task.result() for task in done)
         finally:
-            for task in asked:
+            for task in pending:
                 task.cancel()
         return granted >= needed
 
@@ -803,19 +820,19 @@
             return len(self.config.voters)
         return self.config.majority
 
-    async def _ask_vote(
-        self, peer: Member, ballot: _messages.VoteRequest
+    async def _request_vote(
+        self, peer: Member, template: _messages.VoteRequest
     ) -> int:
-        request = dataclasses.replace(ballot, to=peer.id)
+        request = dataclasses.replace(template, to=peer.id)
         timeout_s = self._timing.call_s
         if request.unanimous:
-            timeout_s = self._timing.election_s * EARLY_CALL
+            timeout_s = self._timing.election_s * EARLY_VOTE_TIMEOUT
         try:
             reply = await self._call(peer, _messages.VOTE, request, timeout_s)
         except wire.ServingError as error:
-            self._answer_by_name[peer.name] = error.code
+            self._vote_answer_by_name[peer.name] = error.code
             return 0
-        self._answer_by_name[peer.name] = reply.why or "granted"
+        self._vote_answer_by_name[peer.name] = reply.why or "granted"
         if reply.term > self.term and not reply.granted:
             await self._to_its_end(self._learn_term, reply.term)
         return int(reply.granted)
@@ -829,7 +846,7 @@
             self._become_follower(None, f"learned of term {term}")
             await self._save_vote(_messages.Vote(term, None))
 
-    async def _follow(self, term: int, leader: Member) -> bool:
+    async def _accept_leader(self, term: int, leader: Member) -> bool:
         """Accept the sender as leader; False when its term is stale."""
         if term < self.term:
             return False
@@ -843,9 +860,9 @@
                 term,
                 self.last_index,
             )
-            self._note_role("follows", f"heard from {leader.name}")
+            self._emit_role_change("follows", f"heard from {leader.name}")
         self.leader = leader
-        self._heard_leader = True
+        self._leader_seen = True
         self._heard_at = self._clock.now()
         return True
 
@@ -861,7 +878,9 @@
                 self.term,
                 self.commit,
             )
-            self._note_role("no longer leads", why, self._answered_s())
+            self._emit_role_change(
+                "no longer leads", why, self._ack_age_by_name()
+            )
             self._heard_at = self._clock.now()
             self._fail_waiters()
             self._stop_replicators()
@@ -870,14 +889,14 @@
         """Become the leader; the lease starts when votes were requested."""
         self.role = Role.LEADER
         self.leader = self._me
-        self._heard_leader = True
+        self._leader_seen = True
         logging.info(
             "quorum: Became leader. term=%d last=%d commit=%d",
             self.term,
             self.last_index,
             self.commit,
         )
-        self._note_role("leads", "")
+        self._emit_role_change("leads", "")
         self._transferring = False
         self._next_by_peer.clear()
         self._match_by_peer.clear()
@@ -887,7 +906,7 @@
 
     # Election events.
 
-    def _note_role(
+    def _emit_role_change(
         self,
         what: str,
         why: str,
@@ -905,7 +924,7 @@
         }
         self.witness.saw("role", fields)
 
-    def _answered_s(self) -> dict[str, float]:
+    def _ack_age_by_name(self) -> dict[str, float]:
         """Return the age of the last answered call to each peer, by name.
 
         The age counts from when the call was sent.
@@ -917,18 +936,22 @@
             if peer.id in self._acked_by_peer and peer != self._me
         }
 
-    def _note_stand(self, end: str, heard_at: float, unanimous: bool) -> None:
-        heard_s = self._clock.now() - min(heard_at, self._heard_at)
+    def _emit_election_result(
+        self, end: str, last_contact_at: float, unanimous: bool
+    ) -> None:
+        heard_s = self._clock.now() - min(last_contact_at, self._heard_at)
         fields = {
             "end": end,
             "term": self.term,
             "heard_s": round(heard_s, 3),
             "unanimous": unanimous,
-            "answers": dict(self._answer_by_name),
+            "answers": dict(self._vote_answer_by_name),
         }
         self.witness.saw("stand", fields)
 
-    def _note_ballot(self, request: _messages.VoteRequest, why: str) -> None:
+    def _emit_vote_request(
+        self, request: _messages.VoteRequest, why: str
+    ) -> None:
         fields = {
             "candidate": request.candidate,
             "asked_term": request.term,
@@ -970,30 +993,30 @@
             if self.role is Role.LEADER:
                 self._start_replicators()
 
-    async def _applied_at(self, index: int) -> object:
+    async def _wait_applied(self, index: int) -> object:
         done = asyncio.get_running_loop().create_future()
         self._waiter_by_index[index] = _Waiter(self.term, done)
         return await done
 
-    async def _take_entries(self, entries: tuple[Entry, ...]) -> None:
+    async def _merge_entries(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
             if entry.index <= self._log.snapshot.index:
                 continue
             if entry.index <= self.last_index:
                 if self._log.term_at(entry.index) == entry.term:
                     continue
-                await self._cut_after(entry.index - 1)
+                await self._truncate_after(entry.index - 1)
             self._add_entry(entry)
 
-    async def _cut_after(self, index: int) -> None:
-        self._log.cut_after(index)
-        if self._on_disk > index:
+    async def _truncate_after(self, index: int) -> None:
+        self._log.truncate_after(index)
+        if self._synced_index > index:
             try:
                 await self._storage.truncate_after(index)
             except _disk.DiskError as error:
                 self._fail(error)
                 raise self.not_leader() from error
-            self._on_disk = index
+            self._synced_index = index
 
     # The disk.
 
@@ -1006,7 +1029,7 @@
             await self._restore(loaded.meta)
         for entry in loaded.entries:
             self._add_entry(entry)
-        self._on_disk = self.last_index
+        self._synced_index = self.last_index
         # The process before the restart may have had contact with a leader,
         # which relies on its lease. Count the wait from the start of this
         # process: there was no contact after that.
@@ -1014,7 +1037,7 @@
         if self._started_at is not None:
             self._heard_at = min(self._heard_at, self._started_at)
             # Replicas that start together must not stand together.
-            spread_s = self._timing.election_s * START_SPREAD
+            spread_s = self._timing.election_s * START_JITTER
             self._stands_after = self._clock.now() + self._rng.uniform(
                 0.0, spread_s
             )
@@ -1024,7 +1047,7 @@
         stored = await self._storage.read_snapshot()
         assert stored is not None
         self._machine.restore(meta.index, stored[1])
-        self._log.restart(meta)
+        self._log.reset(meta)
         self.commit = max(self.commit, meta.index)
         self.applied = meta.index
 
@@ -1039,7 +1062,7 @@
         except _disk.DiskError as error:
             self._fail(error)
             raise self.not_leader() from error
-        self._on_disk = meta.index
+        self._synced_index = meta.index
         await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.AFTER)
 
     async def _save_vote(self, vote: _messages.Vote) -> None:
@@ -1061,11 +1084,11 @@
 
     async def _flush_locked(self) -> None:
         last = self.last_index
-        if last == self._on_disk:
+        if last == self._synced_index:
             return
-        self._check_disk()
-        first = max(self._on_disk, self._log.snapshot.index) + 1
-        entries = self._log.between(first, last)
+        self._check_not_failed()
+        first = max(self._synced_index, self._log.snapshot.index) + 1
+        entries = self._log.entries_between(first, last)
         try:
             await self._steps.reach(wire.Step.APPEND, wire.Phase.BEFORE)
             await self._storage.append(entries)
@@ -1075,7 +1098,7 @@
         except _disk.DiskError as error:
             self._fail(error)
             raise self.not_leader() from error
-        self._on_disk = last
+        self._synced_index = last
 
     def _fail(self, error: BaseException) -> None:
         """Fail for good: after a failed sync the disk content is unknown."""
@@ -1118,18 +1141,18 @@
 
     async def _send_next(self, peer: Member) -> bool:
         """Send the next entries or a snapshot; True when there is more."""
-        following = self._next_by_peer[peer.id]
-        if following <= self._log.snapshot.index:
+        next_index = self._next_by_peer[peer.id]
+        if next_index <= self._log.snapshot.index:
             await self._send_snapshot(peer)
             return True
-        last = min(self.last_index, following + MAX_BATCH - 1)
-        entries = self._log.between(following, last)
+        last = min(self.last_index, next_index + MAX_BATCH - 1)
+        entries = self._log.entries_between(next_index, last)
         request = _messages.AppendRequest(
             peer.id,
             self.term,
             self._me,
-            following - 1,
-            self._log.term_at(following - 1),
+            next_index - 1,
+            self._log.term_at(next_index - 1),
             entries,
             self.commit,
         )
@@ -1139,8 +1162,8 @@
             return False
         self._acked_by_peer[peer.id] = sent_at
         if not reply.success:
-            back = min(following - 1, reply.last_index + 1)
-            self._next_by_peer[peer.id] = max(back, 1)
+            retry_index = min(next_index - 1, reply.last_index + 1)
+            self._next_by_peer[peer.id] = max(retry_index, 1)
             return True
         match = max(self._match_by_peer.get(peer.id, 0), reply.last_index)
         self._match_by_peer[peer.id] = match
@@ -1204,7 +1227,7 @@
             return
         matches = [
             (
-                self._on_disk
+                self._synced_index
                 if m.id == self._me.id
                 else self._match_by_peer.get(m.id, 0)
             )
@@ -1270,9 +1293,9 @@
                 return
             await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.BEFORE)
             await self._storage.write_snapshot(meta, self._machine.snapshot())
-            kept = self._log.after(index)
+            kept = self._log.entries_after(index)
             await self._storage.rewrite_log(kept)
-            self._on_disk = kept[-1].index if kept else index
+            self._synced_index = kept[-1].index if kept else index
             self._log.compact(meta)
         await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.AFTER)
 
@@ -1282,12 +1305,12 @@
         """Ask to join while this replica is not a voter."""
         while True:
             if self._forms and not self.config.voters:
-                await self._form_first()
+                await self._form_if_first_seed()
             await self._clock.sleep(JOIN_INTERVAL_S)
             if self.config.has_voter(self._me.id) and not self._is_left_out():
                 continue
             for seed in self._seeds:
-                if seed != self._address and await self._ask_to_join(seed):
+                if seed != self._address and await self._request_join(seed):
                     break
 
     def _is_left_out(self) -> bool:
@@ -1301,17 +1324,17 @@
             heard_s >= self._timing.election_s
         )
 
-    async def _form_first(self) -> None:
+    async def _form_if_first_seed(self) -> None:
         """Form the log if this seed has the lowest address (as a string)."""
         if not self._seeds or self._address != min(self._seeds):
             return
         with contextlib.suppress(wire.ServingError):
             await self.form()
 
-    async def _ask_to_join(self, seed: str) -> bool:
+    async def _request_join(self, seed: str) -> bool:
         request = _messages.JoinRequest(self._me)
         address: str | None = seed
-        for _ in range(MOST_REDIRECTS):
+        for _ in range(MAX_REDIRECTS):
             try:
                 await self._transport.call(
                     address, _messages.JOIN, request, self._timing.call_s
@@ -1325,7 +1348,7 @@
                 return False
         return False
 
-    async def _bring_in(self, member: Member) -> None:
+    async def _add_replica(self, member: Member) -> None:
         """Add a replica as a learner, then as a voter once it caught up.
 
         It replaces a voter of the same name in one step. That is safe
@@ -1343,7 +1366,7 @@
                 lambda config: _membership.with_learner(config, member)
             )
             await self._wait_caught_up(member)
-            if not await self._make_room(member):
+            if not await self._free_voter_slot(member):
                 return
             await self._change(lambda config: self._with_voter(config, member))
             if self.config.has_voter(member.id):
@@ -1354,46 +1377,48 @@
                 )
             await self._steps.reach(wire.Step.JOIN, wire.Phase.AFTER)
 
-    def _has_place(self, config: Config, member: Member) -> bool:
+    def _has_voter_slot(self, config: Config, member: Member) -> bool:
         """Whether a replica may become a voter without removing another.
 
         It may replace a voter of its own name, or fill a free place.
         """
-        comes_back = any(voter.name == member.name for voter in config.voters)
-        if comes_back or self._max_voters is None:
+        replaces_voter = any(
+            voter.name == member.name for voter in config.voters
+        )
+        if replaces_voter or self._max_voters is None:
             return True
         return len(config.voters) < self._max_voters
 
     def _with_voter(self, config: Config, member: Member) -> Config:
         """Add a voter, unless another replica has taken the free place."""
-        if not self._has_place(config, member):
+        if not self._has_voter_slot(config, member):
             return config
         return _membership.with_voter(config, member)
 
-    async def _make_room(self, member: Member) -> bool:
+    async def _free_voter_slot(self, member: Member) -> bool:
         """Make room for a voter; False when no voter may be removed.
 
         The disk of a removed voter may still exist, so its removal is a
         change of its own: every majority of the old voters then overlaps
         every majority of the new ones.
         """
-        if self._has_place(self.config, member):
+        if self._has_voter_slot(self.config, member):
             return True
-        leaves = self._silent_voter() or self._crowded_voter(member)
-        if leaves is None:
+        removed = self._silent_voter() or self._crowded_voter(member)
+        if removed is None:
             return False
 
         def without(config: Config) -> Config:
-            if self._has_place(config, member):
+            if self._has_voter_slot(config, member):
                 return config
-            return _membership.without_voter(config, leaves)
+            return _membership.without_voter(config, removed)
 
         await self._change(without)
         return True
 
     def _is_silent(self, member: Member) -> bool:
         silent_s = self._clock.now() - self._acked_by_peer.get(member.id, 0.0)
-        return member.id != self._me.id and silent_s > SILENT_VOTER_S
+        return member.id != self._me.id and silent_s > VOTER_TIMEOUT_S
 
     def _silent_voter(self) -> Member | None:
         silent = filter(self._is_silent, self.config.voters)
@@ -1409,11 +1434,11 @@
         """
         counts = collections.Counter(v.domain for v in self.config.voters)
         others = [v for v in self.config.voters if v.id != self._me.id]
-        crowded = max(others, key=lambda v: counts[v.domain], default=None)
-        if crowded is None:
+        replaced = max(others, key=lambda v: counts[v.domain], default=None)
+        if replaced is None:
             return None
-        more = counts[crowded.domain] - counts[member.domain]
-        return crowded if more > 1 else None
+        excess = counts[replaced.domain] - counts[member.domain]
+        return replaced if excess > 1 else None
 
     async def _wait_caught_up(self, member: Member) -> None:
         """Wait until a learner has every committed entry.
@@ -1450,7 +1475,7 @@
         index = self._append_local(
             _messages.EntryKind.CONFIG, wire.encode(config)
         )
-        await self._applied_at(index)
+        await self._wait_applied(index)
 
     async def _call(
         self,
--- a/libs/quorum/src/bergamotsail/quorum/_storage.py
+++ b/libs/quorum/src/bergamotsail/quorum/_storage.py
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedState:
     """The durable state that a replica loads at start."""
 
     vote: _messages.Vote
@@ -92,7 +92,7 @@
     return body if google_crc32c.value(body) == checksum else None
 
 
-def _damaged_inside(data: bytes, offset: int) -> bool:
+def _was_synced(data: bytes, offset: int) -> bool:
     """Whether a later record shows that the bad one at *offset* was synced.
 
     The length of the bad record can't be trusted, so every later offset is
@@ -127,7 +127,7 @@
         await self._disk.replace(IDENTITY, wire.encode(identity))
         return identity
 
-    async def load(self) -> Loaded:
+    async def load(self) -> LoadedState:
         """Load vote, snapshot metadata and log; truncate a torn log tail.
 
         Raises:
@@ -142,8 +142,8 @@
         entries = await self._load_log()
         if meta is not None:
             entries = [entry for entry in entries if entry.index > meta.index]
-        _check_run(entries, meta.index if meta is not None else 0)
-        return Loaded(vote, meta, entries)
+        _check_contiguous(entries, meta.index if meta is not None else 0)
+        return LoadedState(vote, meta, entries)
 
     async def _load_meta(self) -> _messages.SnapshotMeta | None:
         records = await self._snapshot_records(SNAPSHOT)
@@ -162,7 +162,7 @@
             self._end_by_index[entry.index] = end
             self._size = end
         if self._size < len(data):
-            if _damaged_inside(data, self._size):
+            if _was_synced(data, self._size):
                 raise CorruptLogError(
                     f"The log is damaged at byte {self._size}. Remove the "
                     "data folder; the replica then joins as a new one."
@@ -284,7 +284,7 @@
         return records
 
 
-def _check_run(
+def _check_contiguous(
     entries: collections.abc.Sequence[_messages.Entry], before: int
 ) -> None:
     """Raise unless the entries are contiguous from the index after *before*.
