--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -37,7 +37,7 @@
 FORM_RETRY_S = 0.1
 # The constants below are fractions of the election timeout.
 # Random delay of the first normal election after a start, so that replicas
-# that start together don't stand together.
+# that start together don't hold elections together.
 START_JITTER = 0.6
 # Silence of the leader, equal to three default heartbeats, after which
 # callers are no longer redirected to it.
@@ -747,7 +747,7 @@
     def _takes_turn(self, candidate: str) -> bool:
         """Reserve this replica's pre-vote; False if another candidate has it.
 
-        Of candidates that stand at almost the same time only one passes the
+        Of candidates with almost simultaneous elections only one passes the
         pre-vote. If two did, both would increase their terms, and the loser
         could depose the winner with a higher term. A reservation expires
         after PRE_VOTE_HOLD. It is not a vote and protects no lease, and
@@ -776,7 +776,7 @@
     def _back_off(self) -> None:
         """Back off at random after a lost election.
 
-        Without it, candidates that stand at the same time could split the
+        Without it, candidates with simultaneous elections could split the
         vote for ever.
         """
         pause_s = self._timing.election_s * self._rng.uniform(0.1, 1.2)
@@ -1036,7 +1036,7 @@
         self._heard_at = self._clock.now()
         if self._started_at is not None:
             self._heard_at = min(self._heard_at, self._started_at)
-            # Replicas that start together must not stand together.
+            # Keep replicas that start together from simultaneous elections.
             spread_s = self._timing.election_s * START_JITTER
             self._stands_after = self._clock.now() + self._rng.uniform(
                 0.0, spread_s
