--- a/libs/quorum/src/bergamotsail/quorum/_disk.py
+++ b/libs/quorum/src/bergamotsail/quorum/_disk.py
@@ -1,4 +1,4 @@
-"""The data folder, behind an interface so that tests can break it."""
+"""File access to the data folder; tests inject disk faults behind it."""
 
 import abc
 import asyncio
@@ -9,38 +9,38 @@
 
 
 class DiskError(OSError):
-    """A write or sync that did not happen; nothing may be acknowledged."""
+    """A disk operation failed; the data must not be acknowledged."""
 
 
 class Disk(abc.ABC):
-    """Files by name in one folder; only synced data lasts."""
+    """Files by name in one folder; only synced data is durable."""
 
     @abc.abstractmethod
     async def read(self, name: str) -> bytes | None:
-        """Return the content, or None when there is no such file."""
+        """Return the content, or None when the file does not exist."""
 
     @abc.abstractmethod
     async def append(self, name: str, data: bytes) -> None:
-        """Append, without promise that it lasts."""
+        """Append data, which is durable only after ``sync``."""
 
     @abc.abstractmethod
     async def sync(self, name: str) -> None:
-        """Make all that was appended to the file last."""
+        """Make all data appended to the file durable."""
 
     @abc.abstractmethod
     async def truncate(self, name: str, size: int) -> None:
-        """Cut the file to *size* bytes and sync it."""
+        """Truncate the file to *size* bytes and sync it."""
 
     @abc.abstractmethod
     async def rename(self, old: str, new: str) -> None:
-        """Put a synced file in another's place, atomically and durably."""
+        """Rename a synced file over *new*, atomically and durably."""
 
     @abc.abstractmethod
     async def remove(self, name: str) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Write a whole file, atomically and durably."""
+        """Replace the content of a file, atomically and durably."""
         temporary = f"{name}.new"
         await self.remove(temporary)
         await self.append(temporary, data)
@@ -49,7 +49,10 @@
 
 
 class FolderDisk(Disk):
-    """A real folder. Blocking calls run in the loop's thread pool."""
+    """A folder of the file system.
+
+    Reads, writes and syncs run in the event loop's default thread pool.
+    """
 
     def __init__(self, folder: str | pathlib.Path) -> None:
         self._folder = pathlib.Path(folder)
@@ -58,24 +61,24 @@
 
     async def read(self, name: str) -> bytes | None:
         try:
-            return await _in_thread((self._folder / name).read_bytes)
+            return await _run_in_thread((self._folder / name).read_bytes)
         except FileNotFoundError:
             return None
 
     async def append(self, name: str, data: bytes) -> None:
-        await _in_thread(self._append, name, data)
+        await _run_in_thread(self._append, name, data)
 
     async def sync(self, name: str) -> None:
-        await _in_thread(os.fdatasync, self._fd(name))
+        await _run_in_thread(os.fdatasync, self._fd(name))
 
     async def truncate(self, name: str, size: int) -> None:
-        await _in_thread(os.ftruncate, self._fd(name), size)
+        await _run_in_thread(os.ftruncate, self._fd(name), size)
         await self.sync(name)
 
     async def rename(self, old: str, new: str) -> None:
         self._close(old)
         self._close(new)
-        await _in_thread(self._rename, old, new)
+        await _run_in_thread(self._rename, old, new)
 
     async def remove(self, name: str) -> None:
         self._close(name)
@@ -114,11 +117,11 @@
             os.close(fd)
 
 
-async def _to_its_end(done: asyncio.Future) -> object:
-    """Wait for a thread's work even when the waiting task is cancelled.
+async def _wait_until_done(done: asyncio.Future) -> object:
+    """Wait for work in a thread, even when the waiting task is cancelled.
 
-    The work can't be stopped, and its file may not be closed or written by
-    anything else before it is over.
+    The work can't be interrupted, and its file must not be closed or written
+    by other code until it ends.
     """
     try:
         return await asyncio.shield(done)
@@ -127,18 +130,18 @@
         raise
 
 
-async def _in_thread(
+async def _run_in_thread(
     function: collections.abc.Callable, *args: object
 ) -> object:
     loop = asyncio.get_running_loop()
     done = loop.run_in_executor(None, functools.partial(function, *args))
     try:
-        return await _to_its_end(done)
+        return await _wait_until_done(done)
     except FileNotFoundError:
         raise
     except OSError as error:
         raise DiskError(
             error.errno,
-            f"The data folder failed ({error}). Check space and disk, then "
-            "restart this replica.",
+            f"Access to the data folder failed ({error}). Check the disk and "
+            "its free space, then restart this replica.",
         ) from error
--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -1,8 +1,8 @@
-"""One replica of the log: elections, replication, commit and membership.
+"""One Raft replica: elections, replication, commit and membership.
 
-All handlers that change durable state run under one lock, one after the
-other. There is one task for the election, one for flushing to disk, one for
-applying, and one for each peer while this replica leads.
+Handlers that change durable state hold one lock. There is one task each for
+elections, flushing to disk, applying entries and joining, and one per peer
+while this replica is the leader.
 """
 
 import abc
@@ -30,23 +30,25 @@
 SNAPSHOT_LINES = 500
 JOIN_INTERVAL_S = 0.5
 CONFIRM_POLL_S = 0.005
-SILENT_VOTER_S = 2.0
-MOST_REDIRECTS = 2
-# Seeds that start together with this replica read their disks by then.
+VOTER_TIMEOUT_S = 2.0
+MAX_REDIRECTS = 2
+# How long forming the log waits for seeds that are still reading their disks.
 FORM_WAIT_S = 5.0
 FORM_RETRY_S = 0.1
-# Shares of the election timeout: within which replicas that start together
-# spread their first normal stand, and the first stand for the votes of all;
-# how long until that is tried again; how long a vote is then waited for.
-START_SPREAD = 0.6
-# For this share of it a leader may be silent before callers are no longer
-# sent to it: three of its heartbeats.
-DOUBTED_SHARE = 0.6
-EARLY_SPREAD = 0.15
-EARLY_RETRY = 0.2
-EARLY_CALL = 0.3
-# For this share of the election timeout a replica that would vote for one
-# candidate tells no other that it would: longer than a vote takes.
+# The constants below are fractions of the election timeout.
+# Random delay of the first normal election after a start, so that replicas
+# that start together don't hold elections together.
+START_JITTER = 0.6
+# Silence of the leader, equal to three default heartbeats, after which
+# callers are no longer redirected to it.
+LEADER_SUSPICION = 0.6
+# Early elections that need the votes of all voters: random delay of the
+# first, mean interval between retries, and timeout of a vote request.
+EARLY_ELECTION_JITTER = 0.15
+EARLY_ELECTION_RETRY = 0.2
+EARLY_VOTE_TIMEOUT = 0.3
+# How long a granted pre-vote excludes other candidates: longer than a
+# vote takes.
 PRE_VOTE_HOLD = 0.1
 
 Config = _messages.Config
@@ -67,9 +69,10 @@
 class Timing:
     """Timeouts in seconds.
 
-    *drift* is the largest relative difference between two clocks.
-    *snapshot_entries* is how many entries are kept before a snapshot.
-    A replica stands after *election_s* to *election_spread* times it.
+    *drift* is the largest relative rate difference between two clocks.
+    *snapshot_entries* is how many entries are applied between snapshots.
+    The election timeout is drawn between *election_s* and *election_s* times
+    *election_spread*.
     """
 
     election_s: float = 1.0
@@ -80,21 +83,27 @@
     election_spread: float = 2.0
 
     @property
-    def doubted_s(self) -> float:
-        """After so long without a word a leader is likely lost."""
-        return DOUBTED_SHARE * self.election_s
+    def suspect_after_s(self) -> float:
+        """Silence in seconds after which the leader is suspected lost."""
+        return LEADER_SUSPICION * self.election_s
 
 
 class Witness(abc.ABC):
-    """Hears of each change of role, each stand and each vote asked for."""
+    """Receives role changes, election results and vote requests."""
 
     @abc.abstractmethod
     def saw(self, what: str, fields: dict[str, object]) -> None:
-        """Take it without blocking; *what* is role, stand or ballot."""
+        """Handle an event without blocking.
+
+        Args:
+            what: ``role`` for a role change, ``stand`` for the result of an
+                election of this replica, ``ballot`` for a vote request.
+            fields: details of the event, by log key.
+        """
 
 
-class NoWitness(Witness):
-    """Hears nothing."""
+class NullElectionObserver(Witness):
+    """Ignores all events."""
 
     def saw(self, what: str, fields: dict[str, object]) -> None:
         pass
@@ -106,24 +115,26 @@
 
 
 class Node:
-    """A replica; an async context manager that runs its tasks.
+    """A Raft replica; an async context manager that runs its tasks.
 
     Args:
-        name: the lasting name of this replica.
-        address: where its peers reach it.
-        seeds: addresses of the replicas, to join through.
-        storage: its disk.
-        transport: how it calls its peers.
-        machine: what it applies commands to.
+        name: name of this replica, kept when its disk is replaced.
+        address: address at which peers reach it.
+        seeds: addresses of the replicas to join through.
+        storage: its durable state.
+        transport: sends calls to peers.
+        machine: the state machine that committed commands are applied to.
         rng: draws election timeouts.
-        forms: the first of the seeds forms the log by itself, once all of
-            them are there and blank. True at the very first start only.
-        max_voters: a further replica waits as a learner until a voter
-            falls silent, or until one domain has two voters more than its
-            own, and then takes a place.
-        domain: what may be lost as a whole with this replica.
+        forms: whether the seed with the lowest address forms the log without
+            an operator, once all seeds answer and are blank. True at the
+            very first start only.
+        max_voters: at this number of voters a further replica stays a
+            learner until a voter stops answering, or until some domain has
+            at least two voters more than the replica's own domain; it then
+            replaces that voter.
+        domain: failure domain of this replica.
         started_at: when this process started, on the clock; the time of
-            the first load when None.
+            loading when None.
     """
 
     def __init__(
@@ -149,7 +160,7 @@
         self.commit = 0
         self.applied = 0
         self.error: BaseException | None = None
-        self.witness: Witness = NoWitness()
+        self.witness: Witness = NullElectionObserver()
         self._address = address
         self._seeds = tuple(seeds)
         self._storage = storage
@@ -163,14 +174,14 @@
         self._me = Member("", name, address, domain)
         self._vote = _messages.Vote()
         self._log = _log.Log()
-        self._on_disk = 0
+        self._synced_index = 0
         self._heard_at = 0.0
         self._stands_after = float("-inf")
-        self._heard_leader = False
-        self._answer_by_name: dict[str, str] = {}
-        self._handed_in = -1
-        self._word_for: str | None = None
-        self._word_until = 0.0
+        self._leader_seen = False
+        self._vote_answer_by_name: dict[str, str] = {}
+        self._transfer_term = -1
+        self._pre_vote_for: str | None = None
+        self._pre_vote_until = 0.0
         self._ready_index = 0
         self._transferring = False
         self._incoming: tuple[_messages.SnapshotMeta, int] | None = None
@@ -178,20 +189,20 @@
         self._lock = asyncio.Lock()
         self._flush_wanted = asyncio.Event()
         self._commit_moved = asyncio.Event()
-        self._stand_now = asyncio.Event()
+        self._election_requested = asyncio.Event()
         self._waiter_by_index: dict[int, _Waiter] = {}
         self._next_by_peer: dict[str, int] = {}
         self._match_by_peer: dict[str, int] = {}
         self._acked_by_peer: dict[str, float] = {}
         self._wake_by_peer: dict[str, asyncio.Event] = {}
         self._replicator_by_peer: dict[str, asyncio.Task] = {}
-        self._joining: dict[str, asyncio.Task] = {}
+        self._join_tasks: dict[str, asyncio.Task] = {}
         self._snapshotting = False
         self._forms = forms
         self._started_at = started_at
         self._max_voters = max_voters
         self._loaded = False
-        self._under_way: set[asyncio.Future] = set()
+        self._shielded_tasks: set[asyncio.Future] = set()
         self._tasks: list[asyncio.Task] = []
 
     async def __aenter__(self) -> "Node":
@@ -204,8 +215,8 @@
         running = [
             *self._tasks,
             *self._replicator_by_peer.values(),
-            *self._joining.values(),
-            *self._under_way,
+            *self._join_tasks.values(),
+            *self._shielded_tasks,
         ]
         for task in running:
             task.cancel()
@@ -216,22 +227,22 @@
         self,
         work: collections.abc.Callable[[], collections.abc.Awaitable[None]],
     ) -> None:
-        """Stop this replica for good when one of its tasks breaks."""
+        """Run a task; mark this replica as failed when it raises."""
         try:
             await work()
         except Exception as error:
             self._fail(error)
 
     def serve(self, server: wire.PeerServer) -> None:
-        """Answer the calls of other replicas."""
+        """Register the handlers for calls of other replicas."""
         for call, handler in (
             (_messages.VOTE, self.on_vote),
             (_messages.APPEND, self.on_append),
             (_messages.SNAPSHOT, self.on_snapshot),
             (_messages.FORM, self.on_form),
         ):
-            to_its_end = functools.partial(self._to_its_end, handler)
-            server.serve(call, to_its_end)
+            uncancellable = functools.partial(self._to_its_end, handler)
+            server.serve(call, uncancellable)
         server.serve(_messages.LEAD, self.on_lead)
         server.serve(_messages.HELLO, self.on_hello)
         server.serve(_messages.JOIN, self.on_join)
@@ -241,23 +252,24 @@
         work: collections.abc.Callable[..., collections.abc.Awaitable],
         *args: object,
     ) -> typing.Any:
-        """Do work on the disk to its end, though its caller goes away.
+        """Run work that writes to disk, even when the caller is cancelled.
 
-        Ended between a write and its note in memory, it would leave the
-        two out of step: the next write would repeat the same entries.
+        Cancelling it between a write and the update of the state in memory
+        would make the two differ, and the next write would append the same
+        entries again.
         """
         task = asyncio.ensure_future(work(*args))
-        self._under_way.add(task)
-        task.add_done_callback(self._ended)
+        self._shielded_tasks.add(task)
+        task.add_done_callback(self._on_shielded_task_done)
         return await asyncio.shield(task)
 
-    def _ended(self, task: asyncio.Future) -> None:
-        self._under_way.discard(task)
+    def _on_shielded_task_done(self, task: asyncio.Future) -> None:
+        self._shielded_tasks.discard(task)
         if not task.cancelled():
-            # A caller that went away is nobody to raise to.
+            # Mark the exception as retrieved: the caller may be cancelled.
             task.exception()
 
-    # What users of the log see.
+    # Public interface.
 
     @property
     def member(self) -> Member:
@@ -281,12 +293,15 @@
 
     @property
     def snapshot_index(self) -> int:
-        """Index up to which the log was replaced by a snapshot."""
+        """Index of the last entry covered by the snapshot."""
         return self._log.snapshot.index
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads and knows all committed entries."""
+        """Whether this replica leads and has applied its first entry.
+
+        It has then applied all entries committed in earlier terms.
+        """
         return (
             self.role is Role.LEADER
             and self._ready_index > 0
@@ -294,62 +309,70 @@
         )
 
     def holds_lease(self) -> bool:
-        """Whether surely no other replica leads at this moment.
+        """Whether this replica holds the leader lease.
 
-        Followers give no vote for one election timeout after they heard
-        from a leader, so no other can be elected before then.
+        Followers grant no vote for one election timeout after contact with
+        a leader, so no other leader can be elected before then. The lease
+        is shortened by the clock drift.
         """
         if not self.is_leader or self._transferring:
             return False
-        sure_s = self._timing.election_s * (1 - self._timing.drift)
-        return self._clock.now() < self._quorum_acked_at() + sure_s
+        lease_s = self._timing.election_s * (1 - self._timing.drift)
+        return self._clock.now() < self._quorum_acked_at() + lease_s
 
     async def propose(self, command: bytes) -> object:
-        """Commit a command and return what the machine made of it.
+        """Commit a command and return the state machine's result.
 
         Raises:
-            NotLeaderError: this replica does not lead; nothing was done.
-            UnknownOutcomeError: leadership was lost; it may yet commit.
+            NotLeaderError: this replica is not the leader, holds no lease, or
+                its entry was overwritten; the command is not applied.
+            ReplicaFailedError: this replica has failed; the command was
+                not appended.
+            UnknownOutcomeError: leadership was lost; the command may still
+                be committed.
         """
         if not self.holds_lease():
             raise self.not_leader()
         index = self._append_local(_messages.EntryKind.COMMAND, command)
-        return await self._applied_at(index)
+        return await self._wait_applied(index)
 
     @property
     def hears_leader(self) -> bool:
-        """Whether a leader was heard of late, or this replica leads.
+        """Whether this replica leads or had recent contact with a leader.
 
-        One that has been silent for longer is likely lost; to send a
-        caller there lets him wait for his time-out.
+        A leader that has been silent for longer is probably lost, and a
+        caller that is redirected to it would wait for its timeout.
         """
         if self.role is Role.LEADER:
             return True
         heard_s = self._clock.now() - self._heard_at
-        return self.leader is not None and heard_s < self._timing.doubted_s
+        return (
+            self.leader is not None and heard_s < self._timing.suspect_after_s
+        )
 
     def not_leader(self) -> wire.ServingError:
-        """Return the typed error for a call that only a leader answers."""
+        """Return the error for a call that only the leader can serve."""
         if self.role is Role.FAILED:
             return wire.ReplicaFailedError(
-                f"The disk of replica {self.name} failed. Ask another.",
+                f"Replica {self.name} has failed. Ask another replica.",
                 retry_after_s=1.0,
             )
         known = self.leader is not None and self.leader.id != self._me.id
         known = known and self.hears_leader
         return wire.NotLeaderError(
-            f"Replica {self.name} does not lead. Ask the leader.",
+            f"Replica {self.name} is not the leader. Ask the leader.",
             retry_after_s=self._timing.election_s,
             use=self.leader.address if known else None,
         )
 
     async def confirm_lead(self, timeout_s: float) -> None:
-        """Wait until a majority has answered a call sent after this one.
+        """Confirm leadership with a new round of calls to a majority.
 
-        What is read after it is then the newest, whatever the clocks do.
+        A read that follows is linearizable without relying on clocks.
 
         Raises:
-            NotLeaderError: this replica does not lead, or not for sure.
+            NotLeaderError: this replica is not the leader, or no majority
+                answered within *timeout_s*.
         """
         asked_at = self._clock.now()
         for wake in self._wake_by_peer.values():
@@ -361,7 +384,10 @@
         raise self.not_leader()
 
     async def transfer(self) -> None:
-        """Hand leadership to the most advanced voter, as far as possible."""
+        """Transfer leadership to the most up-to-date voter, best effort.
+
+        Unless it is the only voter, this replica steps down in any case.
+        """
         if self.role is not Role.LEADER:
             return
         others = [m for m in self.config.voters if m.id != self._me.id]
@@ -369,37 +395,40 @@
             return
         self._transferring = True
         try:
-            heir = max(others, key=lambda m: self._match_by_peer.get(m.id, 0))
+            successor = max(
+                others, key=lambda m: self._match_by_peer.get(m.id, 0)
+            )
             deadline = self._clock.now() + self._timing.election_s
             while (
                 self.role is Role.LEADER
                 and self._clock.now() < deadline
-                and self._match_by_peer.get(heir.id, 0) < self.last_index
+                and self._match_by_peer.get(successor.id, 0) < self.last_index
             ):
                 await self._clock.sleep(self._timing.heartbeat_s / 10)
-            request = _messages.LeadRequest(heir.id, self.term)
+            request = _messages.LeadRequest(successor.id, self.term)
             with contextlib.suppress(wire.ServingError):
-                await self._call(heir, _messages.LEAD, request)
+                await self._call(successor, _messages.LEAD, request)
             while self.role is Role.LEADER and self._clock.now() < deadline:
                 await self._clock.sleep(self._timing.heartbeat_s / 10)
         finally:
-            # The heir may stand at any later moment without waiting for
-            # our lease to end, so this lease is never used again.
+            # The successor may start an election at any later moment without
+            # waiting for this lease to expire, so the lease must not be used
+            # again.
             if self.role is Role.LEADER:
-                self._become_follower(None, "handed on")
+                self._become_follower(None, "leadership transferred")
 
     async def form(self) -> None:
-        """Start a new log with all the seeds, which must all be blank.
+        """Form a new log with all seeds as voters; all must be blank.
 
         Raises:
-            ConflictError: a seed already holds a log.
+            ConflictError: a seed already has a log.
         """
         replies = await asyncio.gather(
             *(self._hello_when_started(seed) for seed in self._seeds)
         )
         if not all(reply.blank for reply in replies):
             raise wire.ConflictError(
-                "A replica already holds a log. Start the others and let "
+                "A replica already has a log. Start the others and let "
                 "them join; form only once."
             )
         config = Config(tuple(reply.member for reply in replies))
@@ -408,8 +437,8 @@
             await self._call(member, _messages.FORM, request)
 
     async def _hello_when_started(self, seed: str) -> _messages.HelloReply:
-        """Ask a seed who it is, again while it still reads its disk."""
-        gives_up_at = self._clock.now() + FORM_WAIT_S
+        """Send a hello to a seed; retry while it is reading its disk."""
+        deadline = self._clock.now() + FORM_WAIT_S
         while True:
             try:
                 return await self._transport.call(
@@ -419,25 +448,25 @@
                     self._timing.call_s,
                 )
             except wire.StartingError:
-                if self._clock.now() >= gives_up_at:
+                if self._clock.now() >= deadline:
                     raise
                 await self._clock.sleep(FORM_RETRY_S)
 
     # Calls from other replicas.
 
     async def on_hello(self, _: _messages.Hello) -> _messages.HelloReply:
-        """Say who this replica is."""
+        """Return the identity of this replica and its known leader."""
         self._check_loaded()
         return _messages.HelloReply(
             self._me, not self.config.voters, self.leader
         )
 
     async def on_form(self, request: _messages.FormRequest) -> _messages.Empty:
-        """Take the first configuration, if blank."""
+        """Store the first configuration of a blank replica."""
         self._check_to(request.to)
         async with self._lock:
             if self.last_index > 0:
-                raise wire.ConflictError("This replica already holds a log.")
+                raise wire.ConflictError("This replica already has a log.")
             data = wire.encode(request.config)
             entry = Entry(1, 1, _messages.EntryKind.CONFIG, data)
             self._add_entry(entry)
@@ -447,17 +476,20 @@
     async def on_vote(
         self, request: _messages.VoteRequest
     ) -> _messages.VoteReply:
-        """Give or refuse a vote; a given vote is on disk first."""
+        """Grant or refuse a vote; a granted vote is synced before the reply.
+
+        A granted pre-vote is not stored.
+        """
         self._check_to(request.to)
         async with self._lock:
-            self._check_disk()
-            why = self._refusal(request)
-            self._note_ballot(request, why)
+            self._check_not_failed()
+            why = self._refusal_reason(request)
+            self._emit_vote_request(request, why)
             if why or request.pre:
                 return _messages.VoteReply(self.term, not why, why)
             await self._steps.reach(wire.Step.VOTE, wire.Phase.BEFORE)
             if request.term > self.term:
-                self._become_follower(None, "voted for another")
+                self._become_follower(None, "voted for another candidate")
             self._heard_at = self._clock.now()
             await self._save_vote(
                 _messages.Vote(request.term, request.candidate)
@@ -468,15 +500,15 @@
     async def on_append(
         self, request: _messages.AppendRequest
     ) -> _messages.AppendReply:
-        """Take entries from the leader; they are on disk before the reply."""
+        """Append entries from the leader; they are synced before the reply."""
         self._check_to(request.to)
         async with self._lock:
-            self._check_disk()
-            if not await self._follow(request.term, request.leader):
+            self._check_not_failed()
+            if not await self._accept_leader(request.term, request.leader):
                 return self._append_reply(False)
             if not self._log.matches(request.prev_index, request.prev_term):
                 return self._append_reply(False)
-            await self._take_entries(request.entries)
+            await self._merge_entries(request.entries)
             await self._flush_locked()
             self._heard_at = self._clock.now()
             last = request.prev_index + len(request.entries)
@@ -487,11 +519,11 @@
     async def on_snapshot(
         self, piece: _messages.SnapshotPiece
     ) -> _messages.AppendReply:
-        """Take a part of a snapshot; install it after the last."""
+        """Store a piece of a snapshot; install it after the last piece."""
         self._check_to(piece.to)
         async with self._lock:
-            self._check_disk()
-            if not await self._follow(piece.term, piece.leader):
+            self._check_not_failed()
+            if not await self._accept_leader(piece.term, piece.leader):
                 return self._append_reply(False)
             await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.BEFORE)
             if piece.number == 0:
@@ -510,34 +542,34 @@
             return self._append_reply(True)
 
     async def on_lead(self, request: _messages.LeadRequest) -> _messages.Empty:
-        """Stand for election at once, on the leader's own word."""
+        """Start an election at once, as the leader transfers leadership."""
         self._check_to(request.to)
         if request.term == self.term:
-            self._handed_in = request.term
-            self._stand_now.set()
+            self._transfer_term = request.term
+            self._election_requested.set()
         return _messages.Empty()
 
     async def on_join(self, request: _messages.JoinRequest) -> _messages.Empty:
-        """Start to bring a replica in, through the learner stage."""
+        """Start to add a replica, first as a learner."""
         if not self.is_leader:
             raise self.not_leader()
         name = request.member.name
-        running = self._joining.get(name)
+        running = self._join_tasks.get(name)
         if running is None or running.done():
-            self._joining[name] = asyncio.create_task(
-                self._bring_in(request.member)
+            self._join_tasks[name] = asyncio.create_task(
+                self._add_replica(request.member)
             )
         return _messages.Empty()
 
     def _check_loaded(self) -> None:
-        """Refuse calls that come before the disk was read.
+        """Refuse calls that arrive before the durable state is loaded.
 
-        A vote, an acknowledgement or an id given until then would be that
-        of another replica, which has no past.
+        Until then the replica would answer as a blank one, and its votes,
+        acknowledgements and id would contradict its durable state.
         """
         if not self._loaded:
             raise wire.StartingError(
-                f"Replica {self.name} reads its disk. Ask again soon.",
+                f"Replica {self.name} is reading its disk. Retry soon.",
                 retry_after_s=self._timing.heartbeat_s,
             )
 
@@ -545,45 +577,48 @@
         self._check_loaded()
         if to != self._me.id:
             raise wire.NotFoundError(
-                f"Replica {to} is not here; this is {self._me.id}. Its disk "
-                "was replaced."
+                f"Replica {to} is not at this address; this is {self._me.id}. "
+                "Its disk was replaced."
             )
 
-    def _check_disk(self) -> None:
+    def _check_not_failed(self) -> None:
         if self.role is Role.FAILED:
             raise self.not_leader()
 
     # Elections.
 
-    def _refusal(self, request: _messages.VoteRequest) -> str:
-        """Return why no vote is given; empty when it is.
+    def _refusal_reason(self, request: _messages.VoteRequest) -> str:
+        """Return why a vote is refused; empty when it is granted.
 
-        Why stands in lines of the log and is for people only.
+        The reason is for log lines only; no code depends on it.
         """
         heard_s = self._clock.now() - self._heard_at
-        waits = heard_s < self._timing.election_s and not request.transfer
-        # Who heard no leader since its start waits only for the lease of
-        # one that still leads, and a leader does not give its vote.
-        alone = request.unanimous and not self._heard_leader
+        within_timeout = (
+            heard_s < self._timing.election_s and not request.transfer
+        )
+        # Without contact with a leader since the start, waiting only protects
+        # the lease of a leader elected before; such a leader refuses its vote,
+        # so a unanimous election fails while it leads.
+        skips_wait = request.unanimous and not self._leader_seen
         if request.term < self.term:
             return "old term"
-        if waits and not alone:
+        if within_timeout and not skips_wait:
             return f"heard {heard_s:.3f} s ago"
         if self.holds_lease() and not request.transfer:
             return "holds the lease"
         if self.role is Role.LEADER and request.term == self.term:
             return "leads"
-        mine = (self._log.term_at(self.last_index), self.last_index)
-        if (request.last_term, request.last_index) < mine:
+        own_last = (self._log.term_at(self.last_index), self.last_index)
+        if (request.last_term, request.last_index) < own_last:
             return "log behind"
         if request.pre:
-            taken = self._takes_turn(request.candidate)
-            return "" if taken else "another's turn"
-        free = self._vote.voted_for in (None, request.candidate)
-        return "" if request.term > self.term or free else "voted"
+            reserved = self._takes_turn(request.candidate)
+            return "" if reserved else "another's turn"
+        vote_available = self._vote.voted_for in (None, request.candidate)
+        return "" if request.term > self.term or vote_available else "voted"
 
     async def _elect(self) -> None:
-        await self._stand_early()
+        await self._run_early_elections()
         while True:
             wait_s = self._timing.election_s * self._rng.uniform(
                 1.0, self._timing.election_spread
@@ -592,10 +627,11 @@
             if self.role is Role.LEADER:
                 self._check_quorum()
                 continue
-            # The word of a leader of an earlier term passes by no lease.
-            handed = self._handed_in == self.term
-            transfer = self._stand_now.is_set() and handed
-            self._stand_now.clear()
+            # A transfer from an earlier term must not bypass the lease of
+            # the present leader.
+            transfer_current = self._transfer_term == self.term
+            transfer = self._election_requested.is_set() and transfer_current
+            self._election_requested.clear()
             heard_s = self._clock.now() - self._heard_at
             if heard_s < wait_s and not transfer:
                 continue
@@ -608,21 +644,23 @@
             with contextlib.suppress(wire.ServingError, _disk.DiskError):
                 await self._stand(transfer)
 
-    async def _stand_early(self) -> None:
-        """Stand before the usual wait, for the votes of all.
+    async def _run_early_elections(self) -> None:
+        """Run elections that need all votes, before the election timeout.
 
-        After a start of all replicas at once nobody can hold a lease, and
-        unanimous votes show that it is so.
+        When all replicas start at once there is no leader lease to wait for,
+        and the votes of all voters prove it.
         """
         if not self.config.voters:
             return
-        pause_s = self._timing.election_s * self._rng.uniform(0, EARLY_SPREAD)
-        ends_at = self._heard_at + self._timing.election_s
-        while not self._heard_leader and self._clock.now() < ends_at:
+        pause_s = self._timing.election_s * self._rng.uniform(
+            0, EARLY_ELECTION_JITTER
+        )
+        deadline = self._heard_at + self._timing.election_s
+        while not self._leader_seen and self._clock.now() < deadline:
             await self._clock.sleep(pause_s)
-            pause_s = self._timing.election_s * EARLY_RETRY
+            pause_s = self._timing.election_s * EARLY_ELECTION_RETRY
             pause_s *= self._rng.uniform(0.5, 1.5)
-            if self._heard_leader or self.role is not Role.FOLLOWER:
+            if self._leader_seen or self.role is not Role.FOLLOWER:
                 return
             with contextlib.suppress(wire.ServingError, _disk.DiskError):
                 await self._stand(False, unanimous=True)
@@ -636,32 +674,36 @@
         now = self._clock.now()
         left_s = max(self._heard_at + wait_s, self._stands_after) - now
         await wire.wait_event(
-            self._stand_now, max(left_s, self._timing.heartbeat_s)
+            self._election_requested, max(left_s, self._timing.heartbeat_s)
         )
 
     def _check_quorum(self) -> None:
         silent_s = self._clock.now() - self._quorum_acked_at()
         if silent_s > self._timing.election_s:
             logging.info(
-                "quorum: No majority answers. silent_s=%.3f", silent_s
+                "quorum: Lost contact with a majority. silent_s=%.3f", silent_s
             )
-            self._become_follower(None, f"unanswered {silent_s:.3f} s")
+            self._become_follower(None, f"no majority for {silent_s:.3f} s")
 
     async def _stand(self, transfer: bool, unanimous: bool = False) -> None:
         logging.info(
-            "quorum: Stands. term=%d heard_s=%.3f transfer=%s unanimous=%s",
+            "quorum: Starting election. "
+            "term=%d heard_s=%.3f transfer=%s unanimous=%s",
             self.term,
             self._clock.now() - self._heard_at,
             transfer,
             unanimous,
         )
-        term, heard_at = self.term, self._heard_at
-        self._answer_by_name.clear()
+        term, last_contact_at = self.term, self._heard_at
+        self._vote_answer_by_name.clear()
         if transfer:
-            # The leader that asked for this stand may be heard meanwhile.
-            heard_at = float("inf")
-        elif not await self._passes_before(unanimous):
-            self._note_stand("no word", heard_at, unanimous)
+            # Contact with the leader that requested the transfer must not
+            # cancel this election.
+            last_contact_at = float("inf")
+        elif not await self._passes_pre_vote(unanimous):
+            self._emit_election_result(
+                "pre-vote failed", last_contact_at, unanimous
+            )
             if unanimous:
                 return
             self._heard_at = max(
@@ -669,8 +711,10 @@
             )
             return
         async with self._lock:
-            if not self._still_stands(term, heard_at):
-                self._note_stand("another ahead", heard_at, unanimous)
+            if not self._still_stands(term, last_contact_at):
+                self._emit_election_result(
+                    "overtaken in pre-vote", last_contact_at, unanimous
+                )
                 return
             self._become_follower(None)
             self.role = Role.CANDIDATE
@@ -679,10 +723,14 @@
         asked_at = self._clock.now()
         won = await self._ask_votes(False, transfer, unanimous)
         async with self._lock:
-            still = self.role is Role.CANDIDATE and self.term == term
-            end = ("won" if won else "not won") if still else "overtaken"
-            self._note_stand(end, heard_at, unanimous)
-            if not still:
+            still_candidate = self.role is Role.CANDIDATE and self.term == term
+            end = (
+                ("won" if won else "not elected")
+                if still_candidate
+                else "overtaken"
+            )
+            self._emit_election_result(end, last_contact_at, unanimous)
+            if not still_candidate:
                 return
             if won:
                 self._become_leader(asked_at)
@@ -690,44 +738,46 @@
                 self.role = Role.FOLLOWER
                 self._back_off()
 
-    async def _passes_before(self, unanimous: bool) -> bool:
-        """Ask whether votes would be given; raises no term."""
+    async def _passes_pre_vote(self, unanimous: bool) -> bool:
+        """Run the pre-vote; it does not increase the term."""
         if not self._takes_turn(self._me.id):
             return False
         return await self._ask_votes(True, False, unanimous)
 
     def _takes_turn(self, candidate: str) -> bool:
-        """Whether no other candidate has this replica's word for now.
+        """Reserve this replica's pre-vote; False if another candidate has it.
 
-        Of candidates that stand within moments only one passes the vote
-        before the vote. Two that did would raise their terms, and the one
-        that loses could depose the winner by a higher term. A word binds
-        for PRE_VOTE_HOLD only and is no vote: it keeps nobody's lease, and
-        to refuse it is always safe.
+        Of candidates with almost simultaneous elections only one passes the
+        pre-vote. If two did, both would increase their terms, and the loser
+        could depose the winner with a higher term. A reservation expires
+        after PRE_VOTE_HOLD. It is not a vote and protects no lease, and
+        refusing a pre-vote is always safe.
         """
         now = self._clock.now()
-        other = self._word_for not in (None, candidate)
-        if other and now < self._word_until:
+        other = self._pre_vote_for not in (None, candidate)
+        if other and now < self._pre_vote_until:
             return False
-        self._word_for = candidate
-        self._word_until = now + self._timing.election_s * PRE_VOTE_HOLD
+        self._pre_vote_for = candidate
+        self._pre_vote_until = now + self._timing.election_s * PRE_VOTE_HOLD
         return True
 
-    def _still_stands(self, term: int, heard_at: float) -> bool:
-        """Whether nothing came meanwhile that ends a stand for this term.
+    def _still_stands(self, term: int, last_contact_at: float) -> bool:
+        """Whether an election may go on after its pre-vote.
 
-        A vote given, a leader heard or a term learned while the votes were
-        asked for shows that another is ahead. Standing on with a higher
-        term would depose it, and win nothing from who has just voted.
+        A vote granted, contact with a leader or a new term during the
+        pre-vote shows that another candidate is ahead. An election with a
+        higher term would depose it, and voters that have just voted would
+        refuse.
         """
         if self.role is not Role.FOLLOWER or self.term != term:
             return False
-        return self._heard_at <= heard_at
+        return self._heard_at <= last_contact_at
 
     def _back_off(self) -> None:
-        """Wait at random before standing again after a split vote.
+        """Back off at random after a lost election.
 
-        Replicas that stand at the same moment would else do so for ever.
+        Without it, candidates with simultaneous elections could split the
+        vote for ever.
         """
         pause_s = self._timing.election_s * self._rng.uniform(0.1, 1.2)
         self._stands_after = self._clock.now() + pause_s
@@ -740,7 +790,7 @@
         others = [m for m in voters if m.id != self._me.id]
         needed = self._votes_needed(unanimous)
         granted = 1
-        ballot = _messages.VoteRequest(
+        template = _messages.VoteRequest(
             "",
             term,
             self._me.id,
@@ -750,17 +800,18 @@
             transfer,
             unanimous,
         )
-        asked = {
-            asyncio.create_task(self._ask_vote(m, ballot)) for m in others
+        pending = {
+            asyncio.create_task(self._request_vote(m, template))
+            for m in others
         }
         try:
-            while granted < needed <= granted + len(asked):
-                done, asked = await asyncio.wait(
-                    asked, return_when=asyncio.FIRST_COMPLETED
+            while granted < needed <= granted + len(pending):
+                done, pending = await asyncio.wait(
+                    pending, return_when=asyncio.FIRST_COMPLETED
                 )
                 granted += sum(task.result() for task in done)
         finally:
-            for task in asked:
+            for task in pending:
                 task.cancel()
         return granted >= needed
 
@@ -769,19 +820,19 @@
             return len(self.config.voters)
         return self.config.majority
 
-    async def _ask_vote(
-        self, peer: Member, ballot: _messages.VoteRequest
+    async def _request_vote(
+        self, peer: Member, template: _messages.VoteRequest
     ) -> int:
-        request = dataclasses.replace(ballot, to=peer.id)
+        request = dataclasses.replace(template, to=peer.id)
         timeout_s = self._timing.call_s
         if request.unanimous:
-            timeout_s = self._timing.election_s * EARLY_CALL
+            timeout_s = self._timing.election_s * EARLY_VOTE_TIMEOUT
         try:
             reply = await self._call(peer, _messages.VOTE, request, timeout_s)
         except wire.ServingError as error:
-            self._answer_by_name[peer.name] = error.code
+            self._vote_answer_by_name[peer.name] = error.code
             return 0
-        self._answer_by_name[peer.name] = reply.why or "granted"
+        self._vote_answer_by_name[peer.name] = reply.why or "granted"
         if reply.term > self.term and not reply.granted:
             await self._to_its_end(self._learn_term, reply.term)
         return int(reply.granted)
@@ -792,11 +843,11 @@
 
     async def _adopt_term(self, term: int) -> None:
         if term > self.term:
-            self._become_follower(None, f"term {term} heard")
+            self._become_follower(None, f"learned of term {term}")
             await self._save_vote(_messages.Vote(term, None))
 
-    async def _follow(self, term: int, leader: Member) -> bool:
-        """Accept a leader of this term; False when it is an old one."""
+    async def _accept_leader(self, term: int, leader: Member) -> bool:
+        """Accept the sender as leader; False when its term is stale."""
         if term < self.term:
             return False
         await self._adopt_term(term)
@@ -804,14 +855,14 @@
             self._become_follower(leader)
         if self.leader is None or self.leader.id != leader.id:
             logging.info(
-                "quorum: Follows %s. term=%d last=%d",
+                "quorum: Following leader %s. term=%d last=%d",
                 leader.id,
                 term,
                 self.last_index,
             )
-            self._note_role("follows", f"heard {leader.name}")
+            self._emit_role_change("follows", f"heard from {leader.name}")
         self.leader = leader
-        self._heard_leader = True
+        self._leader_seen = True
         self._heard_at = self._clock.now()
         return True
 
@@ -823,27 +874,29 @@
         self._ready_index = 0
         if was_leader:
             logging.info(
-                "quorum: Leads no more. term=%d commit=%d",
+                "quorum: No longer leader. term=%d commit=%d",
                 self.term,
                 self.commit,
             )
-            self._note_role("leads no more", why, self._answered_s())
+            self._emit_role_change(
+                "no longer leads", why, self._ack_age_by_name()
+            )
             self._heard_at = self._clock.now()
             self._fail_waiters()
             self._stop_replicators()
 
     def _become_leader(self, asked_at: float) -> None:
-        """Lead; the lease counts from when votes were asked for."""
+        """Become the leader; the lease starts when votes were requested."""
         self.role = Role.LEADER
         self.leader = self._me
-        self._heard_leader = True
+        self._leader_seen = True
         logging.info(
-            "quorum: Leads. term=%d last=%d commit=%d",
+            "quorum: Became leader. term=%d last=%d commit=%d",
             self.term,
             self.last_index,
             self.commit,
         )
-        self._note_role("leads", "")
+        self._emit_role_change("leads", "")
         self._transferring = False
         self._next_by_peer.clear()
         self._match_by_peer.clear()
@@ -851,9 +904,9 @@
         self._ready_index = self._append_local(_messages.EntryKind.NOOP, b"")
         self._start_replicators()
 
-    # What a witness is told.
+    # Election events.
 
-    def _note_role(
+    def _emit_role_change(
         self,
         what: str,
         why: str,
@@ -871,8 +924,11 @@
         }
         self.witness.saw("role", fields)
 
-    def _answered_s(self) -> dict[str, float]:
-        """Return how long ago what each peer answered last was sent."""
+    def _ack_age_by_name(self) -> dict[str, float]:
+        """Return the age of the last answered call to each peer, by name.
+
+        The age counts from when the call was sent.
+        """
         now = self._clock.now()
         return {
             peer.name: round(now - self._acked_by_peer[peer.id], 3)
@@ -880,18 +936,22 @@
             if peer.id in self._acked_by_peer and peer != self._me
         }
 
-    def _note_stand(self, end: str, heard_at: float, unanimous: bool) -> None:
-        heard_s = self._clock.now() - min(heard_at, self._heard_at)
+    def _emit_election_result(
+        self, end: str, last_contact_at: float, unanimous: bool
+    ) -> None:
+        heard_s = self._clock.now() - min(last_contact_at, self._heard_at)
         fields = {
             "end": end,
             "term": self.term,
             "heard_s": round(heard_s, 3),
             "unanimous": unanimous,
-            "answers": dict(self._answer_by_name),
+            "answers": dict(self._vote_answer_by_name),
         }
         self.witness.saw("stand", fields)
 
-    def _note_ballot(self, request: _messages.VoteRequest, why: str) -> None:
+    def _emit_vote_request(
+        self, request: _messages.VoteRequest, why: str
+    ) -> None:
         fields = {
             "candidate": request.candidate,
             "asked_term": request.term,
@@ -913,7 +973,7 @@
                         retry_after_s=self._timing.election_s,
                     )
                 )
-                # A waiter whose caller went away is nobody's to read.
+                # Mark the exception as retrieved: the caller may be cancelled.
                 waiter.done.exception()
         self._waiter_by_index.clear()
 
@@ -933,30 +993,30 @@
             if self.role is Role.LEADER:
                 self._start_replicators()
 
-    async def _applied_at(self, index: int) -> object:
+    async def _wait_applied(self, index: int) -> object:
         done = asyncio.get_running_loop().create_future()
         self._waiter_by_index[index] = _Waiter(self.term, done)
         return await done
 
-    async def _take_entries(self, entries: tuple[Entry, ...]) -> None:
+    async def _merge_entries(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
             if entry.index <= self._log.snapshot.index:
                 continue
             if entry.index <= self.last_index:
                 if self._log.term_at(entry.index) == entry.term:
                     continue
-                await self._cut_after(entry.index - 1)
+                await self._truncate_after(entry.index - 1)
             self._add_entry(entry)
 
-    async def _cut_after(self, index: int) -> None:
-        self._log.cut_after(index)
-        if self._on_disk > index:
+    async def _truncate_after(self, index: int) -> None:
+        self._log.truncate_after(index)
+        if self._synced_index > index:
             try:
                 await self._storage.truncate_after(index)
             except _disk.DiskError as error:
                 self._fail(error)
                 raise self.not_leader() from error
-            self._on_disk = index
+            self._synced_index = index
 
     # The disk.
 
@@ -969,15 +1029,15 @@
             await self._restore(loaded.meta)
         for entry in loaded.entries:
             self._add_entry(entry)
-        self._on_disk = self.last_index
-        # A vote may have been refused just before the restart because a
-        # leader had been heard, so wait as if it had been heard when this
-        # process started; nothing was heard or promised after that.
+        self._synced_index = self.last_index
+        # The process before the restart may have had contact with a leader,
+        # which relies on its lease. Count the wait from the start of this
+        # process: there was no contact after that.
         self._heard_at = self._clock.now()
         if self._started_at is not None:
             self._heard_at = min(self._heard_at, self._started_at)
-            # Those that start together would else stand together.
-            spread_s = self._timing.election_s * START_SPREAD
+            # Keep replicas that start together from simultaneous elections.
+            spread_s = self._timing.election_s * START_JITTER
             self._stands_after = self._clock.now() + self._rng.uniform(
                 0.0, spread_s
             )
@@ -987,7 +1047,7 @@
         stored = await self._storage.read_snapshot()
         assert stored is not None
         self._machine.restore(meta.index, stored[1])
-        self._log.restart(meta)
+        self._log.reset(meta)
         self.commit = max(self.commit, meta.index)
         self.applied = meta.index
 
@@ -1002,7 +1062,7 @@
         except _disk.DiskError as error:
             self._fail(error)
             raise self.not_leader() from error
-        self._on_disk = meta.index
+        self._synced_index = meta.index
         await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.AFTER)
 
     async def _save_vote(self, vote: _messages.Vote) -> None:
@@ -1024,11 +1084,11 @@
 
     async def _flush_locked(self) -> None:
         last = self.last_index
-        if last == self._on_disk:
+        if last == self._synced_index:
             return
-        self._check_disk()
-        first = max(self._on_disk, self._log.snapshot.index) + 1
-        entries = self._log.between(first, last)
+        self._check_not_failed()
+        first = max(self._synced_index, self._log.snapshot.index) + 1
+        entries = self._log.entries_between(first, last)
         try:
             await self._steps.reach(wire.Step.APPEND, wire.Phase.BEFORE)
             await self._storage.append(entries)
@@ -1038,12 +1098,12 @@
         except _disk.DiskError as error:
             self._fail(error)
             raise self.not_leader() from error
-        self._on_disk = last
+        self._synced_index = last
 
     def _fail(self, error: BaseException) -> None:
-        """Stop for good: what a failed sync left on disk is not known."""
+        """Fail for good: after a failed sync the disk content is unknown."""
         self.error = error
-        self._become_follower(None, "the disk failed")
+        self._become_follower(None, "replica failed")
         self.role = Role.FAILED
 
     # Replication.
@@ -1080,19 +1140,19 @@
                 await wire.wait_event(wake, self._timing.heartbeat_s)
 
     async def _send_next(self, peer: Member) -> bool:
-        """Send what the peer needs next; True when there is more."""
-        following = self._next_by_peer[peer.id]
-        if following <= self._log.snapshot.index:
+        """Send the next entries or a snapshot; True when there is more."""
+        next_index = self._next_by_peer[peer.id]
+        if next_index <= self._log.snapshot.index:
             await self._send_snapshot(peer)
             return True
-        last = min(self.last_index, following + MAX_BATCH - 1)
-        entries = self._log.between(following, last)
+        last = min(self.last_index, next_index + MAX_BATCH - 1)
+        entries = self._log.entries_between(next_index, last)
         request = _messages.AppendRequest(
             peer.id,
             self.term,
             self._me,
-            following - 1,
-            self._log.term_at(following - 1),
+            next_index - 1,
+            self._log.term_at(next_index - 1),
             entries,
             self.commit,
         )
@@ -1102,8 +1162,8 @@
             return False
         self._acked_by_peer[peer.id] = sent_at
         if not reply.success:
-            back = min(following - 1, reply.last_index + 1)
-            self._next_by_peer[peer.id] = max(back, 1)
+            retry_index = min(next_index - 1, reply.last_index + 1)
+            self._next_by_peer[peer.id] = max(retry_index, 1)
             return True
         match = max(self._match_by_peer.get(peer.id, 0), reply.last_index)
         self._match_by_peer[peer.id] = match
@@ -1134,7 +1194,10 @@
                 return
             self._acked_by_peer[peer.id] = sent_at
             if not reply.success:
-                raise wire.PeerLostError("The snapshot must start again.")
+                raise wire.PeerLostError(
+                    f"{peer.name} refused piece {number} of the snapshot; "
+                    "it must be sent again from the start."
+                )
         self._next_by_peer[peer.id] = meta.index + 1
 
     async def _still_leading(
@@ -1145,7 +1208,10 @@
         return self.role is Role.LEADER and self.term == term
 
     def _quorum_acked_at(self) -> float:
-        """Return when the latest call that a majority answered was sent."""
+        """Return the latest time at or after which a majority was called.
+
+        Only answered calls count, by the time at which they were sent.
+        """
         now = self._clock.now()
         times = [
             now if m.id == self._me.id else self._acked_by_peer.get(m.id, 0.0)
@@ -1161,7 +1227,7 @@
             return
         matches = [
             (
-                self._on_disk
+                self._synced_index
                 if m.id == self._me.id
                 else self._match_by_peer.get(m.id, 0)
             )
@@ -1227,47 +1293,48 @@
                 return
             await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.BEFORE)
             await self._storage.write_snapshot(meta, self._machine.snapshot())
-            kept = self._log.after(index)
+            kept = self._log.entries_after(index)
             await self._storage.rewrite_log(kept)
-            self._on_disk = kept[-1].index if kept else index
+            self._synced_index = kept[-1].index if kept else index
             self._log.compact(meta)
         await self._steps.reach(wire.Step.SNAPSHOT, wire.Phase.AFTER)
 
     # Membership.
 
     async def _join(self) -> None:
-        """Ask to be a voter for as long as this replica is none."""
+        """Ask to join while this replica is not a voter."""
         while True:
             if self._forms and not self.config.voters:
-                await self._form_first()
+                await self._form_if_first_seed()
             await self._clock.sleep(JOIN_INTERVAL_S)
             if self.config.has_voter(self._me.id) and not self._is_left_out():
                 continue
             for seed in self._seeds:
-                if seed != self._address and await self._ask_to_join(seed):
+                if seed != self._address and await self._request_join(seed):
                     break
 
     def _is_left_out(self) -> bool:
-        """Whether this replica may have been let go while it was away.
+        """Whether this replica may have been removed while it was away.
 
-        Nobody tells it: its own configuration still says that it votes.
+        A removed replica is not notified: its own configuration still lists
+        it as a voter.
         """
         heard_s = self._clock.now() - self._heard_at
         return self.role is not Role.LEADER and (
             heard_s >= self._timing.election_s
         )
 
-    async def _form_first(self) -> None:
-        """Form the log, if this is the first of the seeds."""
+    async def _form_if_first_seed(self) -> None:
+        """Form the log if this seed has the lowest address (as a string)."""
         if not self._seeds or self._address != min(self._seeds):
             return
         with contextlib.suppress(wire.ServingError):
             await self.form()
 
-    async def _ask_to_join(self, seed: str) -> bool:
+    async def _request_join(self, seed: str) -> bool:
         request = _messages.JoinRequest(self._me)
         address: str | None = seed
-        for _ in range(MOST_REDIRECTS):
+        for _ in range(MAX_REDIRECTS):
             try:
                 await self._transport.call(
                     address, _messages.JOIN, request, self._timing.call_s
@@ -1281,14 +1348,15 @@
                 return False
         return False
 
-    async def _bring_in(self, member: Member) -> None:
-        """Learner first, then voter in the place of its old self.
+    async def _add_replica(self, member: Member) -> None:
+        """Add a replica as a learner, then as a voter once it caught up.
 
-        Old and new self change places in one step. That is safe because
-        the old self lost its disk, so it can never vote or acknowledge
-        again, and because the new one already holds every committed
-        entry. Adding first would need three of four voters meanwhile, so
-        that a second loss at that moment would stop the log for good.
+        It replaces a voter of the same name in one step. That is safe
+        because the earlier replica lost its disk, so it can never vote or
+        acknowledge again, and because the new one already has every
+        committed entry. Adding the new voter first would need three of four
+        voters until the removal, and the loss of one more replica at that
+        moment would stop the log for good.
         """
         if self.config.has_voter(member.id):
             return
@@ -1298,80 +1366,88 @@
                 lambda config: _membership.with_learner(config, member)
             )
             await self._wait_caught_up(member)
-            if not await self._make_room(member):
+            if not await self._free_voter_slot(member):
                 return
             await self._change(lambda config: self._with_voter(config, member))
             if self.config.has_voter(member.id):
                 logging.info(
-                    "quorum: Brings in %s as a voter. voters=%d",
+                    "quorum: Added %s as a voter. voters=%d",
                     member.id,
                     len(self.config.voters),
                 )
             await self._steps.reach(wire.Step.JOIN, wire.Phase.AFTER)
 
-    def _has_place(self, config: Config, member: Member) -> bool:
-        """Whether a replica may vote: its old self does, or too few do."""
-        comes_back = any(voter.name == member.name for voter in config.voters)
-        if comes_back or self._max_voters is None:
+    def _has_voter_slot(self, config: Config, member: Member) -> bool:
+        """Whether a replica may become a voter without removing another.
+
+        It may replace a voter of its own name, or fill a free place.
+        """
+        replaces_voter = any(
+            voter.name == member.name for voter in config.voters
+        )
+        if replaces_voter or self._max_voters is None:
             return True
         return len(config.voters) < self._max_voters
 
     def _with_voter(self, config: Config, member: Member) -> Config:
-        """Another may have taken the place since it was looked for."""
-        if not self._has_place(config, member):
+        """Add a voter, unless another replica has taken the free place."""
+        if not self._has_voter_slot(config, member):
             return config
         return _membership.with_voter(config, member)
 
-    async def _make_room(self, member: Member) -> bool:
-        """Let a voter go when there are enough; False if all are to stay.
+    async def _free_voter_slot(self, member: Member) -> bool:
+        """Make room for a voter; False when no voter may be removed.
 
-        Its disk may still exist, so it goes in a step of its own: after
-        that no majority of the old and the new voters can be disjoint.
+        The disk of a removed voter may still exist, so its removal is a
+        change of its own: every majority of the old voters then overlaps
+        every majority of the new ones.
         """
-        if self._has_place(self.config, member):
+        if self._has_voter_slot(self.config, member):
             return True
-        leaves = self._silent_voter() or self._crowded_voter(member)
-        if leaves is None:
+        removed = self._silent_voter() or self._crowded_voter(member)
+        if removed is None:
             return False
 
         def without(config: Config) -> Config:
-            if self._has_place(config, member):
+            if self._has_voter_slot(config, member):
                 return config
-            return _membership.without_voter(config, leaves)
+            return _membership.without_voter(config, removed)
 
         await self._change(without)
         return True
 
     def _is_silent(self, member: Member) -> bool:
         silent_s = self._clock.now() - self._acked_by_peer.get(member.id, 0.0)
-        return member.id != self._me.id and silent_s > SILENT_VOTER_S
+        return member.id != self._me.id and silent_s > VOTER_TIMEOUT_S
 
     def _silent_voter(self) -> Member | None:
         silent = filter(self._is_silent, self.config.voters)
         return next(silent, None)
 
     def _crowded_voter(self, member: Member) -> Member | None:
-        """Return a voter of a domain with two voters more than the member's.
+        """Return a voter to replace for a better spread over the domains.
 
-        With the voters spread evenly, the loss of a whole domain leaves a
-        majority wherever that can be. Each exchange makes them more even,
-        so that exchanges end.
+        It is of the domain with most voters, which has at least two more
+        than the domain of *member*. With an even spread, the loss of a whole
+        domain leaves a majority wherever that is possible. Each replacement
+        makes the spread more even, so replacements end.
         """
         counts = collections.Counter(v.domain for v in self.config.voters)
         others = [v for v in self.config.voters if v.id != self._me.id]
-        crowded = max(others, key=lambda v: counts[v.domain], default=None)
-        if crowded is None:
+        replaced = max(others, key=lambda v: counts[v.domain], default=None)
+        if replaced is None:
             return None
-        more = counts[crowded.domain] - counts[member.domain]
-        return crowded if more > 1 else None
+        excess = counts[replaced.domain] - counts[member.domain]
+        return replaced if excess > 1 else None
 
     async def _wait_caught_up(self, member: Member) -> None:
-        """Wait until a learner has all that is committed.
+        """Wait until a learner has every committed entry.
 
         Raises:
-            NotLeaderError: this replica leads no more.
-            PeerLostError: the learner is gone. It may have lost its disk
-                again, and its next self can't be brought in meanwhile.
+            NotLeaderError: this replica is no longer the leader.
+            PeerLostError: the learner does not answer. It may have lost its
+                disk again, and the replica that replaces it can't be added
+                while this wait lasts.
         """
         while self._match_by_peer.get(member.id, 0) < self.commit:
             if not self.is_leader:
@@ -1383,7 +1459,12 @@
     async def _change(
         self, edit: collections.abc.Callable[[Config], Config]
     ) -> None:
-        """Commit a configuration that differs by one member at most."""
+        """Commit an edited configuration once the one before is committed.
+
+        Args:
+            edit: returns a configuration in which at most one voter is
+                added, removed or replaced.
+        """
         while self._log.config_index > self.commit and self.is_leader:
             await self._clock.sleep(self._timing.heartbeat_s / 4)
         if not self.holds_lease():
@@ -1394,7 +1475,7 @@
         index = self._append_local(
             _messages.EntryKind.CONFIG, wire.encode(config)
         )
-        await self._applied_at(index)
+        await self._wait_applied(index)
 
     async def _call(
         self,
