--- a/libs/catalogue/src/bergamotsail/catalogue/__init__.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/__init__.py
@@ -1,8 +1,8 @@
-"""What operators write and what the system remembers for good.
+"""The persistent state: catalogue entries, target ownership and claims.
 
 Catalogue entries, the ownership of targets and the claims of
-non-idempotent calls live in one replicated state machine. Daemons that keep
-no disk follow its *effects*, in order, in a :class:`View`.
+non-idempotent calls live in one replicated state machine. Daemons without
+a replica apply its *effects*, in order, to a :class:`View`.
 """
 
 from bergamotsail.catalogue import _commands
--- a/libs/catalogue/src/bergamotsail/catalogue/_commands.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_commands.py
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Put:
-    """Set an entry, or delete it when *value* is None.
+    """Set an entry, or delete it if *value* is None.
 
     Args:
         value: the entry's JSON.
-        if_revision: the revision the writer saw, 0 for none, or None to
-            write whatever is there.
-        operation_id: names this change; a resend gets the first result.
-        operator: who asks, for the history.
+        operation_id: identifies this change; a retry gets the first reply.
+        operator: who makes the change, for the history.
+        if_revision: the revision that the writer read, 0 if the entry did
+            not exist, or None to write unconditionally.
     """
 
     kind: _entries.Kind
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PutReply:
-    """What became of a change.
+    """The result of a put.
 
     Args:
-        revision: of the entry as it now stands, 0 when there is none.
-        conflict: why it was not made, or None when it was.
-        current: the entry's JSON when it was not made.
+        revision: current revision of the entry, 0 if it does not exist.
+        conflict: why the put was rejected, or None if it was applied.
+        current: the entry's current JSON if the put was rejected.
     """
 
     revision: int
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A line of the history."""
+    """A change of an entry, as the history lists it."""
 
     revision: int
     kind: _entries.Kind
@@ -56,11 +56,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Make a daemon's boot the owner of a target.
+    """Make a boot of a daemon the owner of a target.
 
     Args:
-        after_epoch: the epoch that the leader saw; a grant that raced
-            with another changes nothing.
+        after_epoch: the epoch that the leader read. The grant has no effect
+            if the epoch has changed since.
     """
 
     target: str
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """Give a target back, by the owner that holds this epoch."""
+    """Give up the ownership of a target if *epoch* is still current."""
 
     target: str
     epoch: int
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """The recorded answer of a call that may not be repeated."""
+    """The recorded response to a non-idempotent call."""
 
     status: int
     headers: dict[str, str]
@@ -99,14 +99,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """Take an idempotency key before the call is sent.
+    """Claim an idempotency key before the call is sent.
 
     Args:
-        member: the caller's member; keys of two members never meet.
+        member: the caller's member, which is the namespace of the key.
         key: the caller's key.
-        key_time_ms: the time that the key itself names.
-        digest: of the request, so that a key can't be used for another.
-        attempt: names this attempt; its repeated claim wins again.
+        key_time_ms: the time encoded in the key.
+        digest: digest of the request, so that the key can't be reused for
+            a different one.
+        attempt: identifies this attempt; its claim can be retried.
     """
 
     member: str
@@ -118,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Who holds the key, and the outcome if it is known."""
+    """The state of a key, the attempt that holds it and its outcome."""
 
     state: ClaimState
     attempt: str = ""
@@ -127,7 +128,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """Record how the attempt that holds a key ended."""
+    """Record the outcome of the attempt that holds a key."""
 
     member: str
     key: str
@@ -138,17 +139,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RaiseFloor:
-    """Forget claims whose key names an earlier time, and refuse them."""
+    """Drop claims whose key time is before the floor, and reject new ones."""
 
     floor_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplaceRoutes:
-    """Put a table of routes in force, if its version is the highest.
+    """Replace the route table if the version is higher than the current one.
 
     Args:
-        document: the operator's own text of it, for reading it back.
+        document: the operator's original text, returned when it is read.
     """
 
     table: _routes.RouteTable
@@ -157,7 +158,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NameVersion:
-    """Name a version of an adapter; the highest one counts."""
+    """Set the version of an adapter if it is higher than the current one."""
 
     model: str
     adapter: str
@@ -166,10 +167,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Copies:
-    """Adapters of which an engine keeps a copy at hand.
+    """Adapters of which an engine has a local copy.
 
     Args:
-        names: as MODEL/ADAPTER, the latest last.
+        names: as MODEL/ADAPTER, the most recent last.
     """
 
     target: str
@@ -178,12 +179,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoteCopies:
-    """Remember where copies are, for whoever orders loads next.
+    """Record which engines have local copies, for the next order holder.
 
-    It is a hint: an engine that lost a copy loads from the store instead.
+    This is a hint: an engine that lost a copy loads it from the store.
 
     Args:
-        gone: targets that are no more.
+        gone: targets that no longer exist.
     """
 
     copies: tuple[Copies, ...]
@@ -192,12 +193,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeOrders:
-    """Note who gives the orders to all engines from now on.
+    """Record which instance gives orders to the engines from now on.
 
     Args:
-        holder: the lasting name of its instance.
-        fence: the fencing number of its orders.
-        alone: nobody else can have ordered within the last lease.
+        holder: name of the instance, the same across restarts.
+        fence: fencing token of its orders.
+        alone: whether no other instance can have given orders within the
+            last lease, so that earlier holders are forgotten.
     """
 
     holder: str
@@ -210,13 +212,13 @@
     """A daemon that may hold shares of limits.
 
     Args:
-        boot: the start of the daemon.
-        address: where it listens; a later start there shows that this one
-            has ended.
-        runs_last_s: what it admitted has ended so many seconds after its
-            last heartbeat.
-        most_by_key: the most that it may have in use of each limit on what
-            runs at once.
+        boot: identifies one start of the daemon.
+        address: where it listens; a later start at the same address shows
+            that this one has ended.
+        runs_last_s: seconds after its last heartbeat by which all requests
+            that it admitted have ended.
+        most_by_key: upper bound of what it may have in use of each
+            concurrency limit.
     """
 
     boot: str
@@ -227,17 +229,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoteSharers:
-    """Note which daemons may hold shares of limits, and how much.
+    """Record which daemons may hold shares of limits, and how much.
 
-    It is noted before a daemon may use the share, so that whoever leads
-    next knows of all that may be in use.
+    Committed before a daemon may use a share, so that the next leader knows
+    everything that may be in use.
 
     Args:
-        joined: boots that may hold shares; logs of former releases say no
-            more than that.
-        gone: boots that surely hold none any more.
-        sharers: what holds from now on, for each boot in place of what was
-            noted before.
+        joined: boots that may hold shares of unknown size; written by
+            earlier releases.
+        gone: boots that certainly hold no shares any more.
+        sharers: new records; each replaces the previous one of its boot.
     """
 
     joined: tuple[str, ...] = ()
@@ -247,10 +248,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionReply:
-    """Which version stands after a command that sets one.
+    """The version in effect after a command that sets one.
 
     Args:
-        changed: False when the same or a higher one stood before.
+        changed: False if the previous version was the same or higher.
     """
 
     version: int
@@ -259,7 +260,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Command:
-    """Exactly one of these."""
+    """A command of the log; exactly one field is set."""
 
     put: Put | None = None
     grant: Grant | None = None
--- a/libs/catalogue/src/bergamotsail/catalogue/_entries.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_entries.py
@@ -1,4 +1,4 @@
-"""Catalogue entries: who owns what, of which class, with which limits."""
+"""Catalogue entries: their types, limits and validation."""
 
 import dataclasses
 import enum
@@ -25,7 +25,7 @@
 
 
 class EntryClass(enum.StrEnum):
-    """How urgent the work of an entry is."""
+    """The scheduling class of an entry's requests."""
 
     INTERACTIVE = "interactive"
     STANDARD = "standard"
@@ -33,7 +33,7 @@
 
 
 class PoolKind(enum.StrEnum):
-    """What the targets of a pool are."""
+    """Whether the targets of a pool are engines or plain services."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -41,13 +41,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits over all entry instances together; None means no limit.
+    """Limits enforced across all daemons together.
 
     Args:
-        concurrency: requests admitted at the same time.
-        rate: requests admitted a second.
-        slot_share: share of an engine's adapter slots, 0 to 1, that may be
-            held while another member waits for one.
+        concurrency: maximum number of concurrent requests, or None for no
+            limit.
+        rate: maximum number of requests admitted per second, or None for no
+            limit.
+        slot_share: maximum share of an engine's adapter slots, 0 to 1, that
+            may be occupied while another member waits for one, or None for
+            a share by member weight.
     """
 
     concurrency: int | None = None
@@ -60,9 +63,9 @@
     """A member of the consortium.
 
     Args:
-        token_sha256: hash of the token its callers send, in hex.
-        weight: its share against other members where they contend.
-        retry_budget: retries allowed for each first try, 0 to 1.
+        token_sha256: SHA-256 of the token its callers send, in hex.
+        weight: its weight in fair sharing among members.
+        retry_budget: retries allowed per first attempt, 0 to 1.
     """
 
     token_sha256: str
@@ -78,9 +81,9 @@
     Args:
         owner: the member it belongs to.
         pool: the pool of engines that serve it.
-        versions: weights location by version.
-        default_version: used when a request names none.
-        callers: further members that may call it.
+        versions: location of the weights by version.
+        default_version: used when a request names no version.
+        callers: other members that may call it.
     """
 
     owner: str
@@ -94,11 +97,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """Calls of a service that may not be repeated.
+    """Selects calls of a service by method and path.
 
     Args:
         method: the HTTP method.
-        path_prefix: the path, or the start of it.
+        path_prefix: prefix of the path.
     """
 
     method: str
@@ -107,7 +110,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service and which of its calls may not be repeated."""
+    """A plain service.
+
+    Args:
+        owner: the member it belongs to.
+        pool: the pool of targets that serve it.
+        non_idempotent: calls that must not be repeated.
+        callers: other members that may call it.
+    """
 
     owner: str
     pool: str
@@ -119,12 +129,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """Targets that are alike, by their name in the instance list.
+    """A pool of identical targets; its id is its name in the instance list.
 
     Args:
-        kind: engines or a plain service.
-        checks_fencing: whether its targets refuse an old fencing number.
-            When in doubt say false: the lease is then waited out.
+        kind: whether the targets are engines or a plain service.
+        checks_fencing: whether its targets reject stale fencing tokens. If
+            unsure, set false: a new owner then waits until the lease of the
+            previous one has expired.
         store: name of the weight store its engines load from.
     """
 
@@ -135,14 +146,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quarantine:
-    """A request that ended targets; the entry's id is its identity.
+    """A request during which targets failed; its identity is the entry's id.
 
     Args:
-        member: whose request it is, as far as its credentials tell.
-        pool: whose targets it ended.
-        ends: how many ended under it.
-        held: it is refused; else it may run, and is held again at the next
-            end.
+        member: the member that sent it, as far as its credentials tell.
+        pool: the pool of the targets that failed.
+        ends: number of targets that failed while running it.
+        held: whether it is refused. If false it may run, and is refused
+            again after the next failure.
     """
 
     member: str
@@ -171,7 +182,7 @@
     Kind.QUARANTINE: Quarantine,
 }
 
-# Set by commands of their own, since their highest version wins.
+# Set by dedicated commands, because the highest version wins.
 VERSIONED_KINDS = frozenset({Kind.ROUTES, Kind.ADAPTER_VERSION})
 
 
@@ -189,10 +200,10 @@
 
 
 def share_parts(value: Value) -> Value:
-    """Return an equal value that shares what many entries have alike.
+    """Return an equal value whose common parts are interned.
 
-    Among tens of thousands of adapters, owners, pools, version names and
-    the absence of limits repeat; each is then kept in memory once.
+    Tens of thousands of adapters repeat the same owners, pools, version
+    names and empty limits; interning stores each of them once.
     """
     if not isinstance(value, Adapter):
         return value
@@ -210,16 +221,16 @@
 
 
 def hash_token(token: str) -> str:
-    """Return the form in which a token is kept."""
+    """Return the SHA-256 of a token in hex, the form that is stored."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def parse_value(kind: Kind, data: bytes) -> Value:
-    """Decode and check the value of an entry.
+    """Decode and validate the value of an entry.
 
     Raises:
-        BadMessageError: it does not fit the kind.
-        BadRequestError: it fits, but can't be right.
+        BadMessageError: it does not match the type of the kind.
+        BadRequestError: a field is out of range or inconsistent.
     """
     value = wire.decode(data, TYPE_BY_KIND[kind])
     problems = list(_problems(value))
@@ -229,11 +240,15 @@
 
 
 def check_id(entry_id: str) -> None:
-    """Refuse an id that could not stand in a path or a model name."""
+    """Check that an id can be used in a URL path and a model name.
+
+    Raises:
+        BadRequestError: it can't.
+    """
     if not ID_PATTERN.fullmatch(entry_id):
         raise wire.BadRequestError(
-            f"{entry_id!r} can't be an id. Use 1 to 128 letters, digits, "
-            "dots, dashes and underscores."
+            f"{entry_id!r} is not a valid id. Use 1 to 128 letters, digits, "
+            "dots, dashes and underscores, and begin with a letter or digit."
         )
 
 
@@ -241,32 +256,34 @@
     found: list[str] = []
     if isinstance(value, Member):
         if not re.fullmatch(r"[0-9a-f]{64}", value.token_sha256):
-            found.append("Give token_sha256 as 64 hex digits.")
+            found.append("token_sha256 must be 64 lowercase hex digits.")
         if not value.weight > 0:
-            found.append("Give a weight above 0.")
+            found.append("weight must be greater than 0.")
         if not 0 <= value.retry_budget <= 1:
-            found.append("Give a retry_budget from 0 to 1.")
+            found.append("retry_budget must be from 0 to 1.")
     if isinstance(value, Adapter):
         if value.default_version not in value.versions:
-            found.append("Name one of the versions as default_version.")
+            found.append("default_version must be one of versions.")
         found.extend(
-            f"{version!r} can't be a version; use letters, digits, dots."
+            f"{version!r} is not a valid version; use letters, digits, dots."
             for version in value.versions
             if not ID_PATTERN.fullmatch(version)
         )
     if isinstance(value, (Member, Adapter, Service)):
         found.extend(_limit_problems(value.limits))
     if isinstance(value, Quarantine) and value.ends < 1:
-        found.append("Give as ends how many targets ended, 1 or more.")
+        found.append("ends must be 1 or more.")
     return found
 
 
 def _limit_problems(limits: Limits) -> list[str]:
     found: list[str] = []
     if limits.concurrency is not None and limits.concurrency < 1:
-        found.append("Give a concurrency of 1 or more, or null.")
+        found.append("concurrency must be 1 or more, or null.")
     if limits.rate is not None and not limits.rate > 0:
-        found.append("Give a rate above 0, or null.")
+        found.append("rate must be greater than 0, or null.")
     if limits.slot_share is not None and not 0 < limits.slot_share <= 1:
-        found.append("Give a slot_share above 0 and at most 1, or null.")
+        found.append(
+            "slot_share must be greater than 0 and at most 1, or null."
+        )
     return found
--- a/libs/catalogue/src/bergamotsail/catalogue/_machine.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: catalogue, ownership and claims."""
+"""The replicated state machine: catalogue, target ownership and claims."""
 
 import collections
 import collections.abc
@@ -14,10 +14,11 @@
 KEPT_OPERATIONS = 10_000
 KEPT_CHANGES = 2_000
 KEPT_EFFECTS = 4_000
-# Of adapters, for each engine; the engines keep about as many.
+# Adapter copies remembered for each engine; an engine stores about as many.
 KEPT_COPIES = 64
-# Of those who gave orders to engines. One that is forgotten would have to
-# come back within a lease while so many others took their turn.
+# Instances that have given orders to engines. Dropping the oldest is unsafe
+# only if it gives orders again within one lease, during which this many
+# others would have had to take over.
 KEPT_HOLDERS = 32
 
 Command = _commands.Command
@@ -53,22 +54,27 @@
     document: str | None = None
     copies: _commands.Copies | None = None
     order_holders: tuple[str, ...] = ()
-    # Boots alone, as former releases noted them.
+    # Written by earlier releases, which stored only the boots.
     sharers: tuple[str, ...] = ()
     share_notes: tuple[_commands.Sharer, ...] = ()
 
 
 class CatalogueMachine(quorum.Machine):
-    """Applies commands to a view, the claims and the operation ids."""
+    """Applies committed commands to the catalogue and the claims.
+
+    It also keeps the replies to recent puts, so that a retried operation
+    returns its first reply, and recent effects, from which other daemons
+    update their views.
+    """
 
     def __init__(self) -> None:
         self.view = _view.View()
         self.floor_ms = 0
         self.routes_document: str | None = None
         self.copies_by_target: dict[str, tuple[str, ...]] = {}
-        # Who gave orders to engines, the last one last.
+        # Instances that have given orders to engines, most recent last.
         self.order_holders: tuple[str, ...] = ()
-        # Daemons that may hold shares of limits.
+        # Daemons that may hold shares of limits, by boot.
         self.sharer_by_boot: dict[str, _commands.Sharer] = {}
         self.changes: collections.deque[_commands.Change] = collections.deque(
             maxlen=KEPT_CHANGES
@@ -77,15 +83,15 @@
             str, _commands.PutReply
         ] = collections.OrderedDict()
         self._claim_by_key: dict[tuple[str, str], _Claimed] = {}
-        # In order. Of entries that are replaced as a whole just the newest:
-        # 4,000 tables of 1,500 routes would take 1.5 GB.
+        # In index order. Keeps only the newest effect of each versioned
+        # entry: 4,000 tables of 1,500 routes would take 1.5 GB.
         self._effect_by_index: dict[int, _view.Effect] = {}
         self._index_by_versioned: dict[tuple[_entries.Kind, str], int] = {}
         self._effects_after = 0
 
     @property
     def claims(self) -> int:
-        """How many claims are kept."""
+        """The number of stored claims."""
         return len(self._claim_by_key)
 
     def apply(self, index: int, command: bytes) -> object:
@@ -117,9 +123,9 @@
         return result
 
     def effects_after(self, index: int) -> list[_view.Effect] | None:
-        """Return the effects after *index*, or None if some are gone.
+        """Return the effects after *index*, or None if some were dropped.
 
-        Effects that a newer one makes void are left out.
+        Effects superseded by a newer one are left out.
         """
         if index < self._effects_after:
             return None
@@ -132,14 +138,12 @@
         return found
 
     def find_claim(self, member: str, key: str) -> _commands.ClaimReply | None:
-        """Return what is recorded under a key."""
+        """Return the state of a member's key, or None if unclaimed."""
         claimed = self._claim_by_key.get((member, key))
         if claimed is None:
             return None
         return _reply_of(claimed)
 
-    # Commands.
-
     def _put(self, index: int, put: _commands.Put) -> _commands.PutReply:
         known = self._operation_by_id.get(put.operation_id)
         if known is not None:
@@ -155,7 +159,7 @@
         revision = current.revision if current is not None else 0
         if put.if_revision is not None and put.if_revision != revision:
             return self._refused(
-                current, f"The entry stands at revision {revision}."
+                current, f"The entry is at revision {revision}."
             )
         problem = self._problem(put)
         if problem is not None:
@@ -174,9 +178,12 @@
         return _commands.PutReply(index if put.value is not None else 0)
 
     def _problem(self, put: _commands.Put) -> str | None:
-        """Check a change against the rest of the catalogue."""
+        """Return why a put must be rejected, or None if it is valid.
+
+        The value is checked by itself and against the other entries.
+        """
         if put.kind in _entries.VERSIONED_KINDS:
-            return "Set routes and versions with their own commands."
+            return "Set routes and adapter versions with their own commands."
         if put.value is None:
             return self._delete_problem(put)
         try:
@@ -186,7 +193,9 @@
         if isinstance(value, _entries.Member):
             holder = self.view.member_by_token.get(value.token_sha256)
             if holder not in (None, put.id):
-                return "Another member has this token. Choose another."
+                return (
+                    "Another member already uses this token. Choose another."
+                )
             return None
         if isinstance(value, (_entries.Pool, _entries.Quarantine)):
             return None
@@ -197,14 +206,17 @@
             if name not in members
         ]
         if missing:
-            return f"Create the members {', '.join(missing)} first."
+            return (
+                f"These members do not exist: {', '.join(missing)}. "
+                "Create them first."
+            )
         if value.pool not in self.view.pool_by_id:
-            return f"Create the pool {value.pool} first."
+            return f"The pool {value.pool} does not exist. Create it first."
         return None
 
     def _delete_problem(self, put: _commands.Put) -> str | None:
         if put.id not in self.view.by_kind[put.kind]:
-            return "There is no such entry."
+            return "The entry does not exist."
         used_by = [
             entry.id
             for kind in (_entries.Kind.ADAPTER, _entries.Kind.SERVICE)
@@ -216,7 +228,10 @@
             )
         ]
         if used_by:
-            return f"Delete what uses it first: {', '.join(used_by[:5])}."
+            return (
+                f"The entry is used by {', '.join(used_by[:5])}. "
+                "Delete those entries first."
+            )
         return None
 
     def _refused(
@@ -353,18 +368,16 @@
             self._effects_after = oldest
 
     def _drop_void(self, key: tuple[_entries.Kind, str], index: int) -> None:
-        """Forget the effect that this one replaces.
+        """Drop the effect that the one at *index* supersedes.
 
-        No other entry is checked or found by one of these kinds, so a view
-        that never saw the older one comes out the same.
+        No other entry is validated against or looked up through a versioned
+        one, so a view that skips the older effect ends in the same state.
         """
         older = self._index_by_versioned.get(key)
         self._index_by_versioned[key] = index
         if older is not None:
             self._effect_by_index.pop(older, None)
 
-    # Snapshots.
-
     def snapshot(self) -> collections.abc.Iterator[bytes]:
         effects = self.view.effects()
         claims = list(self._claim_by_key.values())
--- a/libs/catalogue/src/bergamotsail/catalogue/_routes.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_routes.py
@@ -1,8 +1,7 @@
-"""Routes: which request goes to which pool, and what may be repeated.
+"""Routes: which pool serves a request, and whether it may be retried.
 
-All routes are replaced as a whole under a version, and the highest version
-wins. A table is checked before it is proposed, so that what is in the log
-is valid.
+A route table is replaced as a whole; the highest version wins. A table is
+validated before it is proposed, so that the log holds only valid ones.
 """
 
 import collections
@@ -16,7 +15,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether requests of a route may run again."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -33,17 +32,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """One route of callers' requests.
+    """A route for requests of callers.
 
     Args:
-        host: the host it is for, in lower case, without a port.
-        prefix: the start of the path; it begins and ends with a slash.
-        timeout_s: the longest that a caller is kept waiting.
-        objective_s: the time within which an answer is worth most.
-        attempts: how many targets one attempt of a caller may run at.
-        priority: its rank; 0 is the most urgent.
-        resumable: whether a broken stream may go on at another target.
-        pause_s: the longest pause between events that is still on time.
+        host: the host it matches, in lower case, without a port.
+        prefix: path prefix; begins and ends with a slash.
+        timeout_s: maximum time that a caller is kept waiting.
+        objective_s: latency objective.
+        attempts: maximum number of targets that one request of a caller may
+            run at.
+        priority: 0 is the most urgent.
+        resumable: whether a broken stream may resume at another target.
+        pause_s: maximum gap between events of a stream that is still on
+            time.
     """
 
     name: str
@@ -60,7 +61,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run a second time."""
+        """Whether a request may run more than once."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -68,12 +69,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BaseModel:
-    """A base model that the engines of a pool may hold.
+    """A base model that the engines of a pool may load.
 
     Args:
-        size_mb: of its weights.
+        size_mb: size of its weights.
         load_s: time to load it from the weight store.
-        adapter_mb: size of one adapter of it.
+        adapter_mb: size of one of its adapters.
     """
 
     name: str
@@ -84,14 +85,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What an engine of a pool can hold.
+    """Capacity of each engine of a pool.
 
     Args:
-        slots: requests in a batch.
-        memory_tokens: tokens of running requests and cached prompts.
-        weights_mb: memory for weights and adapters together.
-        adapter_slots: adapters at once.
-        loads_per_s: what the weight store allows, over all engines.
+        slots: maximum number of requests in a batch.
+        memory_tokens: maximum number of tokens of running requests and
+            cached prompts together.
+        weights_mb: memory for base models and adapters together.
+        adapter_slots: maximum number of loaded adapters.
+        loads_per_s: rate limit of the weight store, for all engines
+            together.
+        models: the base models it may load.
     """
 
     slots: int
@@ -104,12 +108,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutePool:
-    """A pool that routes lead to.
+    """A pool of targets that routes refer to.
 
     Args:
-        health_path: where its targets tell whether they are well.
-        max_connections: accepted by one target from all callers.
-        engine: what its engines hold, or None for a plain service.
+        health_path: path of its targets' health check.
+        max_connections: connections that one target accepts, from all
+            callers together.
+        engine: capacity of its engines, or None for a plain service.
     """
 
     name: str
@@ -120,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send, and how slowly."""
+    """Size limits and timeouts of callers' requests."""
 
     max_header_bytes: int = 65_536
     max_body_bytes: int = 4 * 1024 * 1024
@@ -140,16 +145,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterVersion:
-    """The newest version of an adapter that was named."""
+    """The current version of an adapter."""
 
     version: int
 
 
 def check_table(table: RouteTable) -> None:
-    """Refuse a table that can't be right.
+    """Validate a route table.
 
     Raises:
-        BadRequestError: it names what is wrong and how to mend it.
+        BadRequestError: the table is invalid; the message lists all
+            problems.
     """
     problems = list(_problems(table))
     if problems:
@@ -160,12 +166,12 @@
     found: list[str] = []
     pools = {pool.name for pool in table.pools}
     if len(pools) < len(table.pools):
-        found.append("Give each pool a name of its own.")
+        found.append("Pool names must be unique.")
     if table.version < 1:
-        found.append("Give a version of 1 or more.")
+        found.append("version must be 1 or more.")
     places = collections.Counter((r.host, r.prefix) for r in table.routes)
     found.extend(
-        f"Two routes share {host}{prefix}; drop one."
+        f"Several routes match {host}{prefix}; remove all but one."
         for (host, prefix), count in places.items()
         if count > 1
     )
@@ -180,27 +186,27 @@
 def _route_problems(route: Route, pools: set[str]) -> list[str]:
     found: list[str] = []
     if not route.host:
-        found.append("name a host.")
+        found.append("host must not be empty.")
     if not (route.prefix.startswith(SLASH) and route.prefix.endswith(SLASH)):
-        found.append("begin and end the prefix with a slash.")
+        found.append("prefix must begin and end with a slash.")
     if not route.timeout_s > 0:
-        found.append("give a timeout above 0.")
+        found.append("timeout must be greater than 0.")
     if route.attempts < 1:
-        found.append("allow one attempt or more.")
+        found.append("attempts must be 1 or more.")
     found.extend(
-        f"there is no pool {split.pool}; add it or name another."
+        f"pool {split.pool} does not exist; add it or use another."
         for split in route.splits
         if split.pool not in pools
     )
     if any(split.weight < 0 for split in route.splits):
-        found.append("give no weight below 0.")
+        found.append("weights must not be negative.")
     if not sum(split.weight for split in route.splits) > 0:
-        found.append("give weights that add up to more than 0.")
+        found.append("the sum of the weights must be greater than 0.")
     return found
 
 
 class RouteIndex:
-    """Finds the route of a request; made anew with each table."""
+    """Finds the route of a request; built once per route table."""
 
     def __init__(self, table: RouteTable) -> None:
         self.table = table
@@ -212,10 +218,10 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path.
+        """Return the route with the longest matching prefix, if any.
 
-        Example: ``find("shop.example:80", "/quotes/7")`` gives the route
-        of ``shop.example`` and ``/quotes/`` when there is one.
+        Example: ``find("shop.example:80", "/quotes/7")`` returns the route
+        of ``shop.example`` and ``/quotes/`` if there is one.
         """
         name = host.rpartition(":")[0] if ":" in host else host
         for route in self._routes_by_host.get(name.lower(), ()):
@@ -224,7 +230,7 @@
         return None
 
     def pool_of(self, route: Route, request_id: str) -> RoutePool:
-        """Choose a pool by weight, always the same for one request."""
+        """Choose a pool by weight; the same request id gets the same pool."""
         total = sum(split.weight for split in route.splits)
         digest = hashlib.blake2b(request_id.encode(), digest_size=8).digest()
         point = int.from_bytes(digest, "big") / 2**64 * total
--- a/libs/catalogue/src/bergamotsail/catalogue/_view.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_view.py
@@ -1,4 +1,4 @@
-"""Catalogue and ownership as every daemon sees them."""
+"""The catalogue and target ownership as each daemon holds them."""
 
 import collections.abc
 import dataclasses
@@ -8,19 +8,21 @@
 from bergamotsail.catalogue import _routes
 from bergamotsail import wire
 
-# Characters of JSON from which a value travels deflated: below a packet or
-# two there is nothing to gain. Each change of a table goes to every daemon in
-# whole; of 1,500 routes it is 376 kB as text and 18 kB (names alike) to 88 kB
-# (random names) deflated, in 3 ms, once for all daemons.
+# Values of at least this many characters of JSON are sent compressed; less
+# than a packet or two gains nothing. Each change of a route table is sent to
+# every daemon in full. A table of 1,500 routes takes 376 kB as text and 18 kB
+# (similar names) to 88 kB (random names) compressed; compressing takes 3 ms
+# and is done once for all daemons.
 DEFLATED_FROM = 4_096
 DEFLATE_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ownership:
-    """Who owns a target; *owner* is None while nobody does.
+    """The owner of a target; *owner* is None while it has none.
 
-    The epoch only grows, and is the fencing number of every order.
+    The epoch grows with each change of ownership and is the fencing token
+    of every order sent to the target.
     """
 
     target: str
@@ -30,13 +32,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Effect:
-    """One change of the view: an entry set or dropped, or an ownership.
+    """One change of a view: an entry set or deleted, or a new ownership.
 
     Args:
-        index: of the log entry that made it.
-        value: the entry's JSON, None when it was dropped.
-        deflated: the entry's JSON, deflated, in the place of a long value.
-        more: the rest of what was deflated follows in the next effect.
+        index: index of the log entry that caused it.
+        value: the entry's JSON, or None if it was deleted or *deflated* is
+            set.
+        deflated: the entry's JSON, zlib-compressed; replaces a long value.
+        more: whether *deflated* is continued in the next effect.
     """
 
     index: int
@@ -49,10 +52,10 @@
 
     @property
     def text(self) -> str | None:
-        """The entry's JSON, None when it was dropped.
+        """The entry's JSON, or None if it was deleted.
 
         Raises:
-            BadMessageError: what was deflated is damaged.
+            BadMessageError: the compressed value is corrupt.
         """
         if self.deflated is None:
             return self.value
@@ -60,16 +63,19 @@
             return zlib.decompress(self.deflated).decode()
         except (zlib.error, UnicodeDecodeError) as error:
             raise wire.BadMessageError(
-                f"Entry {self.id} came damaged: {error}. Ask again."
+                f"Entry {self.id} is corrupt: {error}. Fetch it again."
             ) from error
 
     @property
     def size(self) -> int:
-        """About how many bytes it takes on its way, in base 64 if deflated."""
+        """Approximate size of the value on the wire, in bytes.
+
+        A compressed value is sent as base64.
+        """
         return len(self.value or "") + len(self.deflated or b"") * 4 // 3
 
     def packed(self) -> "Effect":
-        """Return this effect as it travels, with a long value deflated."""
+        """Return this effect with a long value compressed."""
         if self.value is None or len(self.value) < DEFLATED_FROM:
             return self
         deflated = zlib.compress(self.value.encode(), DEFLATE_LEVEL)
@@ -77,7 +83,11 @@
 
 
 def parts_of(effect: Effect, most: int) -> collections.abc.Iterator[Effect]:
-    """Return an effect in parts of so many bytes at most, if deflated."""
+    """Split an effect with a long compressed value.
+
+    Each part carries at most *most* bytes of the value. An effect that is
+    not compressed is yielded whole.
+    """
     data = effect.deflated
     if data is None or len(data) <= most:
         yield effect
@@ -90,13 +100,13 @@
 
 
 class Joiner:
-    """Puts effects that came in parts together again."""
+    """Reassembles effects that were split by :func:`parts_of`."""
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []
 
     def join(self, effect: Effect) -> Effect | None:
-        """Return the whole effect, None while parts of it are missing."""
+        """Add a part; return the whole effect once it is complete."""
         if effect.more:
             self._parts.append(effect.deflated)
             return None
@@ -111,12 +121,12 @@
 
 
 def adapter_key(model: str, adapter: str) -> str:
-    """Return the name of an adapter among all models."""
+    """Return the id of an adapter's version entry."""
     return f"{model}/{adapter}"
 
 
 class View:
-    """Entries by kind and id, and ownership by target."""
+    """Entries by kind and id, and ownership by target, up to an index."""
 
     def __init__(self) -> None:
         self.index = 0
@@ -129,52 +139,55 @@
 
     @property
     def routes(self) -> _routes.RouteIndex:
-        """The routes in force; of version 0 while none were set."""
+        """The current routes; version 0 until a table is set."""
         return self._routes
 
     def named_version(self, model: str, adapter: str) -> int | None:
-        """Return the newest version named for an adapter, if any."""
+        """Return the newest version set for an adapter, if any."""
         named = self.by_kind[_entries.Kind.ADAPTER_VERSION]
         entry = named.get(adapter_key(model, adapter))
         return None if entry is None else entry.value.version
 
     @property
     def member_by_id(self) -> dict[str, _entries.Entry]:
-        """Members."""
+        """Entries of kind MEMBER."""
         return self.by_kind[_entries.Kind.MEMBER]
 
     @property
     def adapter_by_id(self) -> dict[str, _entries.Entry]:
-        """Adapters."""
+        """Entries of kind ADAPTER."""
         return self.by_kind[_entries.Kind.ADAPTER]
 
     @property
     def service_by_id(self) -> dict[str, _entries.Entry]:
-        """Services."""
+        """Entries of kind SERVICE."""
         return self.by_kind[_entries.Kind.SERVICE]
 
     @property
     def pool_by_id(self) -> dict[str, _entries.Entry]:
-        """Pools."""
+        """Entries of kind POOL."""
         return self.by_kind[_entries.Kind.POOL]
 
     @property
     def quarantine_by_id(self) -> dict[str, _entries.Entry]:
-        """Requests that ended targets, by their identity."""
+        """Entries of kind QUARANTINE, by request identity."""
         return self.by_kind[_entries.Kind.QUARANTINE]
 
     @property
     def held_requests(self) -> frozenset[str]:
-        """Identities of requests that are refused."""
+        """Identities of quarantined requests that are refused now."""
         entries = self.quarantine_by_id.values()
         return frozenset(e.id for e in entries if e.value.held)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Reset to an empty view at index 0."""
         self.__init__()
 
     def apply(self, effect: Effect) -> None:
-        """Apply an effect; effects come in order of their index."""
+        """Apply an effect.
+
+        Effects of the log must be applied in index order.
+        """
         if effect.ownership is not None:
             ownership = effect.ownership
             self.ownership_by_target[ownership.target] = ownership
@@ -183,9 +196,10 @@
         self.index = max(self.index, effect.index)
 
     def effects(self) -> collections.abc.Iterator[Effect]:
-        """Return effects that rebuild this view as it stands now.
+        """Return effects that rebuild the current state of this view.
 
-        They are made while they are read, from a frozen copy.
+        They are encoded as they are read, from a copy of the entries, so
+        later changes of the view do not show.
         """
         entries = [
             entry
