--- a/libs/catalogue/src/bergamotsail/catalogue/_entries.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_entries.py
@@ -199,7 +199,7 @@
 NO_LIMITS = Limits()
 
 
-def share_parts(value: Value) -> Value:
+def intern_common_parts(value: Value) -> Value:
     """Return an equal value whose common parts are interned.
 
     Tens of thousands of adapters repeat the same owners, pools, version
--- a/libs/catalogue/src/bergamotsail/catalogue/_machine.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_machine.py
@@ -11,22 +11,22 @@
 from bergamotsail import quorum
 from bergamotsail import wire
 
-KEPT_OPERATIONS = 10_000
-KEPT_CHANGES = 2_000
-KEPT_EFFECTS = 4_000
+MAX_OPERATIONS = 10_000
+MAX_CHANGES = 2_000
+MAX_EFFECTS = 4_000
 # Adapter copies remembered for each engine; an engine stores about as many.
 KEPT_COPIES = 64
 # Instances that have given orders to engines. Dropping the oldest is unsafe
 # only if it gives orders again within one lease, during which this many
 # others would have had to take over.
-KEPT_HOLDERS = 32
+MAX_ORDER_HOLDERS = 32
 
 Command = _commands.Command
 State = _commands.ClaimState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Claimed:
+class _StoredClaim:
     member: str
     key: str
     key_time_ms: int
@@ -37,18 +37,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Operation:
+class _StoredOperation:
     id: str
     reply: _commands.PutReply
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Line:
+class _SnapshotLine:
     """One line of a snapshot."""
 
     effect: _view.Effect | None = None
-    claimed: _Claimed | None = None
-    operation: _Operation | None = None
+    claimed: _StoredClaim | None = None
+    operation: _StoredOperation | None = None
     change: _commands.Change | None = None
     floor_ms: int | None = None
     document: str | None = None
@@ -77,17 +77,17 @@
         # Daemons that may hold shares of limits, by boot.
         self.sharer_by_boot: dict[str, _commands.Sharer] = {}
         self.changes: collections.deque[_commands.Change] = collections.deque(
-            maxlen=KEPT_CHANGES
+            maxlen=MAX_CHANGES
         )
         self._operation_by_id: collections.OrderedDict[
             str, _commands.PutReply
         ] = collections.OrderedDict()
-        self._claim_by_key: dict[tuple[str, str], _Claimed] = {}
+        self._claim_by_key: dict[tuple[str, str], _StoredClaim] = {}
         # In index order. Keeps only the newest effect of each versioned
         # entry: 4,000 tables of 1,500 routes would take 1.5 GB.
         self._effect_by_index: dict[int, _view.Effect] = {}
-        self._index_by_versioned: dict[tuple[_entries.Kind, str], int] = {}
-        self._effects_after = 0
+        self._index_by_versioned_key: dict[tuple[_entries.Kind, str], int] = {}
+        self._last_dropped_index = 0
 
     @property
     def claims(self) -> int:
@@ -127,7 +127,7 @@
 
         Effects superseded by a newer one are left out.
         """
-        if index < self._effects_after:
+        if index < self._last_dropped_index:
             return None
         found = []
         for effect in reversed(self._effect_by_index.values()):
@@ -142,7 +142,7 @@
         claimed = self._claim_by_key.get((member, key))
         if claimed is None:
             return None
-        return _reply_of(claimed)
+        return _claim_reply(claimed)
 
     def _put(self, index: int, put: _commands.Put) -> _commands.PutReply:
         known = self._operation_by_id.get(put.operation_id)
@@ -150,7 +150,7 @@
             return known
         reply = self._put_once(index, put)
         self._operation_by_id[put.operation_id] = reply
-        while len(self._operation_by_id) > KEPT_OPERATIONS:
+        while len(self._operation_by_id) > MAX_OPERATIONS:
             self._operation_by_id.popitem(last=False)
         return reply
 
@@ -158,13 +158,13 @@
         current = self.view.by_kind[put.kind].get(put.id)
         revision = current.revision if current is not None else 0
         if put.if_revision is not None and put.if_revision != revision:
-            return self._refused(
+            return self._rejection(
                 current, f"The entry is at revision {revision}."
             )
-        problem = self._problem(put)
+        problem = self._put_problem(put)
         if problem is not None:
-            return self._refused(current, problem)
-        self._take_effect(_view.Effect(index, put.kind, put.id, put.value))
+            return self._rejection(current, problem)
+        self._apply_effect(_view.Effect(index, put.kind, put.id, put.value))
         self.changes.append(
             _commands.Change(
                 index,
@@ -177,7 +177,7 @@
         )
         return _commands.PutReply(index if put.value is not None else 0)
 
-    def _problem(self, put: _commands.Put) -> str | None:
+    def _put_problem(self, put: _commands.Put) -> str | None:
         """Return why a put must be rejected, or None if it is valid.
 
         The value is checked by itself and against the other entries.
@@ -234,13 +234,13 @@
             )
         return None
 
-    def _refused(
-        self, current: _entries.Entry | None, why: str
+    def _rejection(
+        self, current: _entries.Entry | None, reason: str
     ) -> _commands.PutReply:
         if current is None:
-            return _commands.PutReply(0, why)
+            return _commands.PutReply(0, reason)
         value = wire.encode(current.value).decode()
-        return _commands.PutReply(current.revision, why, value)
+        return _commands.PutReply(current.revision, reason, value)
 
     def _grant(self, index: int, grant: _commands.Grant) -> bool:
         current = self.view.ownership_by_target.get(grant.target)
@@ -248,7 +248,7 @@
         if epoch != grant.after_epoch:
             return False
         ownership = _view.Ownership(grant.target, grant.owner, index)
-        self._take_effect(_view.Effect(index, ownership=ownership))
+        self._apply_effect(_view.Effect(index, ownership=ownership))
         return True
 
     def _release(self, index: int, release: _commands.Release) -> bool:
@@ -256,23 +256,23 @@
         if current is None or current.epoch != release.epoch:
             return False
         ownership = _view.Ownership(release.target, None, index)
-        self._take_effect(_view.Effect(index, ownership=ownership))
+        self._apply_effect(_view.Effect(index, ownership=ownership))
         return True
 
     def _claim(self, claim: _commands.Claim) -> _commands.ClaimReply:
         if claim.key_time_ms < self.floor_ms:
             return _commands.ClaimReply(State.EXPIRED)
         key = (claim.member, claim.key)
-        held = self._claim_by_key.get(key)
-        if held is not None and held.digest != claim.digest:
+        existing = self._claim_by_key.get(key)
+        if existing is not None and existing.digest != claim.digest:
             return _commands.ClaimReply(State.OTHER_REQUEST)
-        if held is not None and held.attempt == claim.attempt:
-            won = held.state is State.HELD
+        if existing is not None and existing.attempt == claim.attempt:
+            won = existing.state is State.HELD
             if won:
-                return _commands.ClaimReply(State.WON, held.attempt)
-        if held is not None and held.state is not State.NOT_RUN:
-            return _reply_of(held)
-        self._claim_by_key[key] = _Claimed(
+                return _commands.ClaimReply(State.WON, existing.attempt)
+        if existing is not None and existing.state is not State.NOT_RUN:
+            return _claim_reply(existing)
+        self._claim_by_key[key] = _StoredClaim(
             claim.member,
             claim.key,
             claim.key_time_ms,
@@ -284,13 +284,13 @@
 
     def _record(self, record: _commands.Record) -> bool:
         key = (record.member, record.key)
-        held = self._claim_by_key.get(key)
-        if held is None or held.attempt != record.attempt:
+        existing = self._claim_by_key.get(key)
+        if existing is None or existing.attempt != record.attempt:
             return False
-        if held.state is not State.HELD:
-            return held.state is record.state
+        if existing.state is not State.HELD:
+            return existing.state is record.state
         self._claim_by_key[key] = dataclasses.replace(
-            held, state=record.state, outcome=record.outcome
+            existing, state=record.state, outcome=record.outcome
         )
         return True
 
@@ -311,7 +311,9 @@
         if table.version <= current:
             return _commands.VersionReply(current, False)
         self.routes_document = replace.document
-        self._set_versioned(index, _entries.Kind.ROUTES, _view.TABLE_ID, table)
+        self._set_versioned(
+            index, _entries.Kind.ROUTES, _view.ROUTE_TABLE_ID, table
+        )
         return _commands.VersionReply(table.version, True)
 
     def _name_version(
@@ -341,7 +343,7 @@
         others = [name for name in self.order_holders if name != take.holder]
         if take.alone:
             others = []
-        self.order_holders = (*others, take.holder)[-KEPT_HOLDERS:]
+        self.order_holders = (*others, take.holder)[-MAX_ORDER_HOLDERS:]
 
     def _note_sharers(self, note: _commands.NoteSharers) -> None:
         for boot in note.gone:
@@ -356,16 +358,16 @@
     ) -> None:
         text = wire.encode(value).decode()
         effect = _view.Effect(index, kind, entry_id, text)
-        self._take_effect(effect)
+        self._apply_effect(effect)
         self._drop_void((kind, entry_id), index)
 
-    def _take_effect(self, effect: _view.Effect) -> None:
+    def _apply_effect(self, effect: _view.Effect) -> None:
         self.view.apply(effect)
         self._effect_by_index[effect.index] = effect.packed()
-        while len(self._effect_by_index) > KEPT_EFFECTS:
+        while len(self._effect_by_index) > MAX_EFFECTS:
             oldest = next(iter(self._effect_by_index))
             del self._effect_by_index[oldest]
-            self._effects_after = oldest
+            self._last_dropped_index = oldest
 
     def _drop_void(self, key: tuple[_entries.Kind, str], index: int) -> None:
         """Drop the effect that the one at *index* supersedes.
@@ -373,8 +375,8 @@
         No other entry is validated against or looked up through a versioned
         one, so a view that skips the older effect ends in the same state.
         """
-        older = self._index_by_versioned.get(key)
-        self._index_by_versioned[key] = index
+        older = self._index_by_versioned_key.get(key)
+        self._index_by_versioned_key[key] = index
         if older is not None:
             self._effect_by_index.pop(older, None)
 
@@ -388,7 +390,7 @@
             claims,
             operations,
             changes,
-            _Line(
+            _SnapshotLine(
                 floor_ms=self.floor_ms,
                 document=self.routes_document,
                 order_holders=self.order_holders,
@@ -402,7 +404,7 @@
     ) -> None:
         self.__init__()
         for data in lines:
-            line = wire.decode(data, _Line)
+            line = wire.decode(data, _SnapshotLine)
             if line.effect is not None:
                 self.view.apply(line.effect)
             elif line.claimed is not None:
@@ -427,32 +429,34 @@
                     )
                 )
         self.view.index = index
-        self._effects_after = index
+        self._last_dropped_index = index
 
 
 def _snapshot_lines(
     effects: collections.abc.Iterator[_view.Effect],
-    claims: list[_Claimed],
+    claims: list[_StoredClaim],
     operations: list[tuple[str, _commands.PutReply]],
     changes: list[_commands.Change],
-    first: _Line,
+    first: _SnapshotLine,
     copies_by_target: dict[str, tuple[str, ...]],
 ) -> collections.abc.Iterator[bytes]:
     yield wire.encode(first)
     for effect in effects:
-        yield wire.encode(_Line(effect=effect))
+        yield wire.encode(_SnapshotLine(effect=effect))
     for claimed in claims:
-        yield wire.encode(_Line(claimed=claimed))
+        yield wire.encode(_SnapshotLine(claimed=claimed))
     for operation_id, reply in operations:
-        operation = _Operation(operation_id, reply)
-        yield wire.encode(_Line(operation=operation))
+        operation = _StoredOperation(operation_id, reply)
+        yield wire.encode(_SnapshotLine(operation=operation))
     for change in changes:
-        yield wire.encode(_Line(change=change))
+        yield wire.encode(_SnapshotLine(change=change))
     for target, names in copies_by_target.items():
-        yield wire.encode(_Line(copies=_commands.Copies(target, names)))
+        yield wire.encode(
+            _SnapshotLine(copies=_commands.Copies(target, names))
+        )
 
 
-def _reply_of(claimed: _Claimed) -> _commands.ClaimReply:
+def _claim_reply(claimed: _StoredClaim) -> _commands.ClaimReply:
     return _commands.ClaimReply(
         claimed.state, claimed.attempt, claimed.outcome
     )
--- a/libs/catalogue/src/bergamotsail/catalogue/_routes.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_routes.py
@@ -169,10 +169,12 @@
         found.append("Pool names must be unique.")
     if table.version < 1:
         found.append("version must be 1 or more.")
-    places = collections.Counter((r.host, r.prefix) for r in table.routes)
+    count_by_match = collections.Counter(
+        (r.host, r.prefix) for r in table.routes
+    )
     found.extend(
         f"Several routes match {host}{prefix}; remove all but one."
-        for (host, prefix), count in places.items()
+        for (host, prefix), count in count_by_match.items()
         if count > 1
     )
     for route in table.routes:
--- a/libs/catalogue/src/bergamotsail/catalogue/_view.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_view.py
@@ -13,8 +13,8 @@
 # every daemon in full. A table of 1,500 routes takes 376 kB as text and 18 kB
 # (similar names) to 88 kB (random names) compressed; compressing takes 3 ms
 # and is done once for all daemons.
-DEFLATED_FROM = 4_096
-DEFLATE_LEVEL = 1
+COMPRESS_MIN_CHARS = 4_096
+COMPRESS_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -76,24 +76,26 @@
 
     def packed(self) -> "Effect":
         """Return this effect with a long value compressed."""
-        if self.value is None or len(self.value) < DEFLATED_FROM:
+        if self.value is None or len(self.value) < COMPRESS_MIN_CHARS:
             return self
-        deflated = zlib.compress(self.value.encode(), DEFLATE_LEVEL)
+        deflated = zlib.compress(self.value.encode(), COMPRESS_LEVEL)
         return dataclasses.replace(self, value=None, deflated=deflated)
 
 
-def parts_of(effect: Effect, most: int) -> collections.abc.Iterator[Effect]:
+def parts_of(
+    effect: Effect, max_bytes: int
+) -> collections.abc.Iterator[Effect]:
     """Split an effect with a long compressed value.
 
-    Each part carries at most *most* bytes of the value. An effect that is
+    Each part carries at most *max_bytes* bytes of the value. An effect that is
     not compressed is yielded whole.
     """
     data = effect.deflated
-    if data is None or len(data) <= most:
+    if data is None or len(data) <= max_bytes:
         yield effect
         return
-    for start in range(0, len(data), most):
-        end = start + most
+    for start in range(0, len(data), max_bytes):
+        end = start + max_bytes
         yield dataclasses.replace(
             effect, deflated=data[start:end], more=end < len(data)
         )
@@ -117,7 +119,7 @@
         return dataclasses.replace(effect, deflated=data)
 
 
-TABLE_ID = "table"
+ROUTE_TABLE_ID = "table"
 
 
 def adapter_key(model: str, adapter: str) -> str:
@@ -217,7 +219,7 @@
         if text is None:
             return
         kind = _entries.TYPE_BY_KIND[effect.kind]
-        value = _entries.share_parts(wire.decode(text, kind))
+        value = _entries.intern_common_parts(wire.decode(text, kind))
         by_id[effect.id] = _entries.Entry(
             effect.kind, effect.id, effect.index, value
         )
