--- a/libs/targets/src/bergamotsail/targets/__init__.py
+++ b/libs/targets/src/bergamotsail/targets/__init__.py
@@ -1,7 +1,8 @@
-"""Narrow interfaces to everything outside, and their HTTP forms.
+"""Interfaces to external systems and their HTTP implementations.
 
-One small module for each kind of outside system: engines, plain services
-and the instance list. Nothing else in the project knows their protocols.
+There is one small module for each kind of system: engines, plain services
+and the instance list. Other libraries use these interfaces only and do not
+depend on the protocols.
 """
 
 from bergamotsail.targets import _adapter_engine
--- a/libs/targets/src/bergamotsail/targets/_adapter_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_adapter_engine.py
@@ -1,8 +1,9 @@
-"""What the holder of an engine's orders asks of it.
+"""The interface to engines that validate requests themselves.
 
-For engines that check by themselves what each request expects of them:
-the incarnation, the adapter and its version. Requests then need not pass
-through the holder, which only says what the engine loads and unloads.
+Such an engine checks the incarnation, adapter and version that each request
+expects. Requests can therefore be sent to it directly. The order holder, the
+one instance that may send orders, only decides what the engine loads and
+unloads.
 """
 
 import abc
@@ -12,7 +13,7 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What an engine said to an order."""
+    """The response of an engine to an order."""
 
     STARTED = "started"
     HOLDS = "holds"
@@ -27,13 +28,15 @@
     """An order to load or unload a model or an adapter of it.
 
     Args:
-        incarnation: the text of the incarnation that must carry it out.
+        incarnation: text of the incarnation that the order is for.
         adapter: empty for the base model itself.
-        version: of the adapter; None for the newest.
-        expected: how many orders the engine has accepted so far; it does
-            nothing when that is no longer so, however late this arrives.
-        fence: grows with each holder.
-        gate: asked right before the order is written.
+        version: version of the adapter; None for the newest.
+        expected: number of orders that the engine has accepted so far. The
+            engine ignores the order if the number differs, so an order that
+            arrives late has no effect.
+        fence: fencing token; increases with each order holder.
+        gate: called right before the order is written; if it returns False,
+            nothing is sent.
     """
 
     incarnation: str
@@ -47,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldAdapter:
-    """An adapter in an engine; *version* is None when it was not told."""
+    """An adapter in an engine; *version* is None if not reported."""
 
     model: str
     adapter: str
@@ -56,17 +59,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterReport:
-    """The state of an engine as it stood some hundred ms ago.
+    """The state of an engine, a few hundred milliseconds old.
 
     Args:
-        models: base models it holds.
-        pending: adapters on their way to it.
-        busy: whether an order on a base model is in progress.
-        sequence: how many orders it has accepted.
-        at_hand: base models of which it keeps a copy, so that a load takes
-            nothing from the store.
-        born_ms: when this start of the engine began, None when it does not
-            tell.
+        models: loaded base models.
+        adapters: loaded adapters.
+        pending: adapters that are being loaded.
+        busy: whether an order for a base model is in progress.
+        sequence: number of orders accepted so far.
+        queued: number of requests that wait.
+        running: number of requests that run.
+        at_hand: base models with a local copy, which can be loaded without
+            the weight store.
+        born_ms: start time of the engine in milliseconds of Unix time, None
+            if not reported.
     """
 
     models: tuple[str, ...]
@@ -81,25 +87,26 @@
 
 
 class AdapterEngine(abc.ABC):
-    """An engine that holds base models and adapters by order."""
+    """An engine that loads base models and adapters on order."""
 
     @abc.abstractmethod
     async def report(self) -> AdapterReport:
-        """Return its state.
+        """Fetch the state of the engine.
 
         Raises:
-            ServingError: it can't be reached or read.
+            ServingError: it can't be reached or its report can't be decoded.
         """
 
     @abc.abstractmethod
     async def load(self, order: EngineOrder) -> OrderOutcome:
-        """Order a load.
+        """Order the engine to load a base model or an adapter.
 
         Raises:
             NotSentError: nothing was written.
-            PeerLostError: it may be carried out, now or seconds later.
+            PeerLostError: the order may still take effect, now or seconds
+                later.
         """
 
     @abc.abstractmethod
     async def unload(self, order: EngineOrder) -> OrderOutcome:
-        """Order an unload; raises as ``load``."""
+        """Order an unload; raises the same errors as ``load``."""
--- a/libs/targets/src/bergamotsail/targets/_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_engine.py
@@ -1,4 +1,4 @@
-"""What an owner asks of a model engine."""
+"""The interface to an engine, used by the owner of the target."""
 
 import abc
 import collections.abc
@@ -7,11 +7,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """What every order to an engine carries.
+    """Fields that every order to an engine has.
 
     Args:
-        epoch: the fencing number.
-        gate: asked at the moment of sending; False sends nothing.
+        epoch: fencing token.
+        gate: called right before the order is written; if it returns False,
+            nothing is sent.
     """
 
     epoch: int
@@ -20,17 +21,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """The state of an engine as it stood *age_s* ago.
+    """The state of an engine *age_s* seconds ago.
 
     Args:
-        incarnation: new with every restart of the engine.
+        incarnation: changes with every restart of the engine.
+        adapter_slots: maximum number of resident adapters.
+        batch_slots: maximum number of requests in a step.
         residents: resident adapters, as ``adapter@version``.
-        active_by_resident: running requests by adapter.
-        running: all running requests.
-        steps: steps made since the start.
-        step_slots_used: sum over steps of the slots in use.
-        batch_slots: slots in a step.
-        cached_prefixes: hashes of prompt prefixes, late and with gaps.
+        active_by_resident: number of running requests by adapter.
+        running: number of all running requests.
+        steps: number of steps since the start.
+        step_slots_used: sum of the batch slots in use over all steps.
+        cached_prefixes: hashes of cached prompt prefixes; delayed and
+            incomplete.
     """
 
     incarnation: str
@@ -51,11 +54,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a caller asks a model.
+    """The input of a completion.
 
     Args:
+        max_tokens: maximum number of tokens to generate.
         chat: whether *text* is a JSON list of chat messages.
-        max_tokens: the most tokens to generate.
     """
 
     text: str
@@ -68,12 +71,12 @@
     """An order to run a prompt.
 
     Args:
-        stream_id: unique over all attempts; names the stream for resume
+        stream_id: unique across attempts; identifies the stream for resume
             and cancel.
-        incarnation: the engine must still be this incarnation.
+        incarnation: the expected incarnation of the engine.
         adapter: as ``adapter@version``.
-        resume_after: number of the last chunk already held, or None for a
-            new run.
+        resume_after: number of the last chunk already received, or None for
+            a new run.
     """
 
     stream_id: str
@@ -86,11 +89,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """A numbered part of an answer, stamped with what produced it.
+    """A numbered part of a response.
 
     Args:
-        number: counts from 0 within the stream.
-        end: whether the answer is whole with this chunk.
+        incarnation: the incarnation of the engine that produced it.
+        adapter: the adapter that produced it, as ``adapter@version``.
+        number: position in the stream, from 0.
+        end: whether this is the last chunk of the response.
     """
 
     stream_id: str
@@ -102,15 +107,15 @@
 
 
 class Engine(abc.ABC):
-    """One model engine. All its methods raise typed serving errors."""
+    """A model engine. All methods raise subclasses of ServingError."""
 
     @abc.abstractmethod
     async def report(self) -> EngineReport:
-        """Return its state, which may be old by ``age_s``."""
+        """Fetch the state of the engine, which is ``age_s`` seconds old."""
 
     @abc.abstractmethod
     async def load(self, order: Order, adapter: str, weights: str) -> None:
-        """Load an adapter version; returns once it is resident."""
+        """Load an adapter version; return once it is resident."""
 
     @abc.abstractmethod
     async def unload(self, order: Order, adapter: str) -> None:
@@ -120,22 +125,22 @@
     def run(
         self, order: Order, run: Run
     ) -> collections.abc.AsyncIterator[Chunk]:
-        """Run, or resume, and yield chunks as the engine sends them."""
+        """Start or resume a run; yield chunks as the engine sends them."""
 
     @abc.abstractmethod
     async def cancel(self, order: Order, stream_id: str) -> None:
-        """End a stream and free its slot; done when this returns."""
+        """Cancel a stream; return once its slot is free."""
 
 
 def versioned_name(adapter: str, version: str) -> str:
-    """Return the name under which an engine knows an adapter version."""
+    """Return the name of an adapter version at an engine."""
     return f"{adapter}@{version}"
 
 
 def split_name(name: str) -> tuple[str, str]:
-    """Return adapter and version of a name; no version gives "".
+    """Split a name into adapter and version, which is "" if absent.
 
-    Example: ``split_name("quotes@v3")`` gives ``("quotes", "v3")``.
+    Example: ``split_name("quotes@v3")`` returns ``("quotes", "v3")``.
     """
     adapter, _, version = name.partition("@")
     return adapter, version
--- a/libs/targets/src/bergamotsail/targets/_http_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_http_engine.py
@@ -1,9 +1,9 @@
-"""Engines that speak the completion API, with adapters by name.
+"""Engines with the completions HTTP API, where models name adapters.
 
 Orders are ``POST /v1/load_lora_adapter`` and ``/v1/unload_lora_adapter``;
 runs are ``POST /v1/completions`` or ``/v1/chat/completions``, streamed as
-server-sent events. Fencing number and incarnation travel in headers, and
-each event is stamped with what produced it.
+server-sent events. Headers carry the fencing token and the expected
+incarnation. Each event names the incarnation and adapter that produced it.
 """
 
 import collections.abc
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """The text of one event."""
+    """A choice of a completion event."""
 
     text: str
     index: int = 0
@@ -53,7 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompletionEvent:
-    """One event of an answer: its stamp, its number and its text."""
+    """One server-sent event of a completion.
+
+    Args:
+        id: id of the stream.
+        model: the adapter that produced it, as ``adapter@version``.
+        incarnation: the incarnation of the engine that produced it.
+        number: position in the stream, from 0.
+    """
 
     id: str
     model: str
@@ -66,7 +73,7 @@
     """An engine at an address.
 
     Args:
-        stream_timeout_s: the longest a whole answer may take.
+        stream_timeout_s: maximum duration of a run.
     """
 
     def __init__(
@@ -175,13 +182,16 @@
         body = wire.decode(reply.body, wire.ErrorBody)
     except wire.BadMessageError as error:
         raise wire.EngineError(
-            f"The engine answered with status {reply.status}."
+            f"The engine responded with status {reply.status}."
         ) from error
     raise wire.error_from_body(body)
 
 
 def _raise_refusal_line(line: bytes) -> None:
-    """Raise the error that an engine sent in place of a stream."""
+    """Raise the error that a line of a response holds, if any.
+
+    An engine that rejects a run sends an error body in place of events.
+    """
     try:
         body = wire.decode(line, wire.ErrorBody)
     except wire.BadMessageError:
--- a/libs/targets/src/bergamotsail/targets/_http_list.py
+++ b/libs/targets/src/bergamotsail/targets/_http_list.py
@@ -7,7 +7,7 @@
 
 
 class HttpInstanceList(_instances.InstanceList):
-    """The list behind a URL, as a JSON array of instances."""
+    """Fetches the list from a URL, as a JSON array of instances."""
 
     def __init__(self, http: wire.HttpClient, url: str) -> None:
         self._http = http
@@ -18,6 +18,6 @@
         reply = await self._http.fetch(request)
         if reply.status != 200:
             raise wire.PeerLostError(
-                f"The instance list answered with status {reply.status}."
+                f"The instance list responded with status {reply.status}."
             )
         return wire.decode(reply.body, tuple[_instances.Instance, ...])
--- a/libs/targets/src/bergamotsail/targets/_instances.py
+++ b/libs/targets/src/bergamotsail/targets/_instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances."""
+"""The platform's list of instances and its data types."""
 
 import abc
 import dataclasses
@@ -7,14 +7,14 @@
 from bergamotsail import observe
 from bergamotsail import wire
 
-# So many causes are logged, each once, however long the list is.
+# Maximum number of distinct causes logged, however long the list is.
 MOST_CAUSES = 50
-# Stands between a target's name and its start.
+# Separates the name and the start time in the text of an incarnation.
 BORN_MARK = "#"
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform says of an instance."""
+    """The state of an instance in the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -24,17 +24,16 @@
 class Incarnation:
     """One start of a target.
 
-    A target may start again under the name that it had, so what is known
-    of it is kept under the text of this value and not under its name.
+    A target may restart under the same name. State about a target is
+    therefore keyed by the text of its incarnation, not by its name.
 
     >>> text = str(Incarnation("i-7", 1700000000000))
     >>> text, Incarnation.of(text).name
     ('i-7#1700000000000', 'i-7')
 
     Args:
-        name: what the target calls itself.
-        born_ms: when it started, in milliseconds of Unix time; None where
-            that is not told.
+        name: name of the target, the same across restarts.
+        born_ms: start time in milliseconds of Unix time, None if unknown.
     """
 
     name: str
@@ -48,7 +47,7 @@
 
     @classmethod
     def of(cls, text: str) -> "Incarnation":
-        """Return the value that has this text."""
+        """Parse the text of an incarnation."""
         name, mark, born = text.rpartition(BORN_MARK)
         if not mark:
             return cls(text)
@@ -56,7 +55,10 @@
 
 
 def whole_ms(told: object) -> int | None:
-    """Return a time in milliseconds; None for what is no whole number."""
+    """Return a time as an int, or None unless it is a whole number >= 0.
+
+    A float without a fraction is accepted; a bool is not.
+    """
     if isinstance(told, float) and told.is_integer():
         told = int(told)
     if isinstance(told, bool) or not isinstance(told, int) or told < 0:
@@ -66,13 +68,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """A target as the platform lists it.
+    """A target in the instance list.
 
     Args:
-        id: the text of its incarnation.
-        pool: the pool of like targets it belongs to.
-        address: IP number and port.
-        datacentre: where it stands.
+        id: text of its incarnation.
+        pool: the pool it belongs to.
+        address: IP address and port.
+        datacentre: the data centre it runs in.
     """
 
     id: str
@@ -83,30 +85,30 @@
 
     @property
     def name(self) -> str:
-        """What the target calls itself, the same for all its starts."""
+        """Name of the target, the same across restarts."""
         return Incarnation.of(self.id).name
 
 
 class InstanceList(abc.ABC):
-    """Reads the list; it lags and may be out of reach."""
+    """Source of the list, which may be stale or unreachable."""
 
     @abc.abstractmethod
     async def read(self) -> tuple[Instance, ...]:
-        """Return the list.
+        """Fetch the list.
 
         Raises:
-            ServingError: it can't be reached or read.
+            ServingError: it can't be reached or decoded.
         """
 
 
 class ListFaults:
-    """Logs why entries of the list were left out, once for each cause."""
+    """Logs why entries of the list are skipped, once per cause."""
 
     def __init__(self) -> None:
         self._causes: set[str] = set()
 
     def note(self, error: wire.BadMessageError) -> None:
-        """Note an entry that does not fit."""
+        """Log an invalid entry, unless its cause was logged before."""
         cause = error.message
         if cause not in self._causes and len(self._causes) < MOST_CAUSES:
             self._causes.add(cause)
--- a/libs/targets/src/bergamotsail/targets/_said.py
+++ b/libs/targets/src/bergamotsail/targets/_said.py
@@ -1,4 +1,7 @@
-"""What a target says of itself beside an answer, as text that may be wrong."""
+"""Parsers for response headers in which a target reports its own state.
+
+Invalid values are returned to the caller to be logged and never raise.
+"""
 
 import collections.abc
 import dataclasses
@@ -6,10 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Flag:
-    """Whether something was said.
+    """A parsed flag.
 
     Args:
-        unread: a text that says neither.
+        unread: an invalid value, if there was one.
     """
 
     is_set: bool = False
@@ -18,11 +21,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Seconds:
-    """A time that was named.
+    """A parsed duration.
 
     Args:
-        value: in seconds; None when none was named that can be read.
-        unread: a text that is no such time.
+        value: duration in seconds, None without a valid value.
+        unread: an invalid value, if there was one.
     """
 
     value: float | None = None
@@ -30,7 +33,9 @@
 
 
 def read_flag(texts: collections.abc.Iterable[str]) -> Flag:
-    """Read a flag that may be said several times; once is enough.
+    """Parse the values of a flag: "1" is set, "0" is not.
+
+    The flag is set if any of the values is "1".
 
     Example: ``read_flag(["0", "1"])`` is set.
     """
@@ -44,9 +49,9 @@
 
 
 def read_seconds(texts: collections.abc.Iterable[str]) -> Seconds:
-    """Read a time that may be named several times; the longest holds.
+    """Parse the values of a duration in seconds; the longest counts.
 
-    A date is not read: it would need the target's clock to be ours.
+    A date is invalid, because it would require synchronised clocks.
 
     Example: ``read_seconds(["1.5", "soon"])`` is 1.5 with "soon" unread.
     """
--- a/libs/targets/src/bergamotsail/targets/_service.py
+++ b/libs/targets/src/bergamotsail/targets/_service.py
@@ -1,4 +1,4 @@
-"""What an entry asks of a plain service."""
+"""The interface to plain services."""
 
 import abc
 import collections.abc
@@ -7,11 +7,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """An HTTP call to pass on.
+    """An HTTP request to forward.
 
     Args:
-        once: the call may not be repeated, so it is written at most once.
-        gate: asked at the moment of sending; False sends nothing.
+        once: write the request at most once, because it is not idempotent.
+        gate: called right before the request is written; if it returns
+            False, nothing is sent.
     """
 
     method: str
@@ -25,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceReply:
-    """The whole reply of a service."""
+    """The complete response of a service."""
 
     status: int
     headers: dict[str, str]
@@ -37,9 +38,9 @@
 
     @abc.abstractmethod
     async def call(self, request: ServiceRequest) -> ServiceReply:
-        """Pass the call on and return the reply.
+        """Forward a request and return the response.
 
         Raises:
             NotSentError: nothing was written to the service.
-            PeerLostError: the reply was lost; the call may have run.
+            PeerLostError: the response was lost; the call may have run.
         """
