--- a/libs/targets/src/bergamotsail/targets/__init__.py
+++ b/libs/targets/src/bergamotsail/targets/__init__.py
@@ -6,8 +6,8 @@
 """
 
 from bergamotsail.targets import _adapter_engine
+from bergamotsail.targets import _header_values
 from bergamotsail.targets import _instances
-from bergamotsail.targets import _said
 from bergamotsail import wire
 
 AdapterEngine = _adapter_engine.AdapterEngine
@@ -23,10 +23,10 @@
 InstanceState = _instances.InstanceState
 whole_ms = _instances.whole_ms
 
-Flag = _said.Flag
-Seconds = _said.Seconds
-read_flag = _said.read_flag
-read_seconds = _said.read_seconds
+Flag = _header_values.Flag
+Seconds = _header_values.Seconds
+read_flag = _header_values.read_flag
+read_seconds = _header_values.read_seconds
 
 __getattr__ = wire.lazy_names(
     __name__,
--- a/libs/targets/src/bergamotsail/targets/_said.py
+++ b/libs/targets/src/bergamotsail/targets/_header_values.py
@@ -32,7 +32,7 @@
     unread: str | None = None
 
 
-def read_flag(texts: collections.abc.Iterable[str]) -> Flag:
+def read_flag(values: collections.abc.Iterable[str]) -> Flag:
     """Parse the values of a flag: "1" is set, "0" is not.
 
     The flag is set if any of the values is "1".
@@ -40,7 +40,7 @@
     Example: ``read_flag(["0", "1"])`` is set.
     """
     is_set, unread = False, None
-    for text in texts:
+    for text in values:
         if text == "1":
             is_set = True
         elif text != "0":
@@ -48,7 +48,7 @@
     return Flag(is_set, unread)
 
 
-def read_seconds(texts: collections.abc.Iterable[str]) -> Seconds:
+def read_seconds(values: collections.abc.Iterable[str]) -> Seconds:
     """Parse the values of a duration in seconds; the longest counts.
 
     A date is invalid, because it would require synchronised clocks.
@@ -56,7 +56,7 @@
     Example: ``read_seconds(["1.5", "soon"])`` is 1.5 with "soon" unread.
     """
     longest_s, unread = None, None
-    for text in texts:
+    for text in values:
         whole, _, fraction = text.partition(".")
         if text.isascii() and (whole + fraction).isdecimal():
             longest_s = max(float(text), longest_s or 0.0)
--- a/libs/targets/src/bergamotsail/targets/_http_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_http_engine.py
@@ -91,24 +91,26 @@
             f"{self._url}/report", timeout_s=REPORT_TIMEOUT_S
         )
         reply = await self._http.fetch(request)
-        _raise_refusal(reply)
+        _raise_for_status(reply)
         return wire.decode(reply.body, _engine.EngineReport)
 
     async def load(
         self, order: _engine.Order, adapter: str, weights: str
     ) -> None:
         body = LoadBody(adapter, weights)
-        await self._order(order, "/v1/load_lora_adapter", body, LOAD_TIMEOUT_S)
+        await self._send_order(
+            order, "/v1/load_lora_adapter", body, LOAD_TIMEOUT_S
+        )
 
     async def unload(self, order: _engine.Order, adapter: str) -> None:
         body = LoadBody(adapter)
-        await self._order(order, "/v1/unload_lora_adapter", body, 5.0)
+        await self._send_order(order, "/v1/unload_lora_adapter", body, 5.0)
 
     async def cancel(self, order: _engine.Order, stream_id: str) -> None:
         path = f"/v1/streams/{stream_id}/cancel"
-        await self._order(order, path, LoadBody(""), 5.0)
+        await self._send_order(order, path, LoadBody(""), 5.0)
 
-    async def _order(
+    async def _send_order(
         self, order: _engine.Order, path: str, body: object, timeout_s: float
     ) -> None:
         request = wire.HttpRequest(
@@ -119,7 +121,7 @@
             timeout_s=timeout_s,
             gate=order.gate,
         )
-        _raise_refusal(await self._http.fetch(request))
+        _raise_for_status(await self._http.fetch(request))
 
     async def run(
         self, order: _engine.Order, run: _engine.Run
@@ -128,12 +130,12 @@
         try:
             async for line in lines:
                 if not line.startswith(DATA_PREFIX):
-                    _raise_refusal_line(line)
+                    _raise_for_error_line(line)
                     continue
                 data = line[len(DATA_PREFIX) :].strip()
                 if data == DONE:
                     return
-                yield _chunk(wire.decode(data, CompletionEvent))
+                yield _to_chunk(wire.decode(data, CompletionEvent))
         finally:
             await lines.aclose()
 
@@ -167,7 +169,7 @@
         )
 
 
-def _chunk(event: CompletionEvent) -> _engine.Chunk:
+def _to_chunk(event: CompletionEvent) -> _engine.Chunk:
     text = "".join(choice.text for choice in event.choices)
     end = any(choice.finish_reason for choice in event.choices)
     return _engine.Chunk(
@@ -175,7 +177,7 @@
     )
 
 
-def _raise_refusal(reply: wire.HttpReply) -> None:
+def _raise_for_status(reply: wire.HttpReply) -> None:
     if reply.status < 400:
         return
     try:
@@ -187,7 +189,7 @@
     raise wire.error_from_body(body)
 
 
-def _raise_refusal_line(line: bytes) -> None:
+def _raise_for_error_line(line: bytes) -> None:
     """Raise the error that a line of a response holds, if any.
 
     An engine that rejects a run sends an error body in place of events.
--- a/libs/targets/src/bergamotsail/targets/_instances.py
+++ b/libs/targets/src/bergamotsail/targets/_instances.py
@@ -8,9 +8,9 @@
 from bergamotsail import wire
 
 # Maximum number of distinct causes logged, however long the list is.
-MOST_CAUSES = 50
+MAX_LOGGED_CAUSES = 50
 # Separates the name and the start time in the text of an incarnation.
-BORN_MARK = "#"
+START_SEPARATOR = "#"
 
 
 class InstanceState(enum.StrEnum):
@@ -40,30 +40,30 @@
     born_ms: int | None = None
 
     def __str__(self) -> str:
-        if self.born_ms is None and BORN_MARK not in self.name:
+        if self.born_ms is None and START_SEPARATOR not in self.name:
             return self.name
-        born = "" if self.born_ms is None else str(self.born_ms)
-        return f"{self.name}{BORN_MARK}{born}"
+        start = "" if self.born_ms is None else str(self.born_ms)
+        return f"{self.name}{START_SEPARATOR}{start}"
 
     @classmethod
     def of(cls, text: str) -> "Incarnation":
         """Parse the text of an incarnation."""
-        name, mark, born = text.rpartition(BORN_MARK)
-        if not mark:
+        name, separator, start = text.rpartition(START_SEPARATOR)
+        if not separator:
             return cls(text)
-        return cls(name, int(born) if born else None)
+        return cls(name, int(start) if start else None)
 
 
-def whole_ms(told: object) -> int | None:
+def whole_ms(value: object) -> int | None:
     """Return a time as an int, or None unless it is a whole number >= 0.
 
     A float without a fraction is accepted; a bool is not.
     """
-    if isinstance(told, float) and told.is_integer():
-        told = int(told)
-    if isinstance(told, bool) or not isinstance(told, int) or told < 0:
+    if isinstance(value, float) and value.is_integer():
+        value = int(value)
+    if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         return None
-    return told
+    return value
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -110,6 +110,6 @@
     def note(self, error: wire.BadMessageError) -> None:
         """Log an invalid entry, unless its cause was logged before."""
         cause = error.message
-        if cause not in self._causes and len(self._causes) < MOST_CAUSES:
+        if cause not in self._causes and len(self._causes) < MAX_LOGGED_CAUSES:
             self._causes.add(cause)
             observe.log_event("list", "bad_entry", cause=cause)
