--- a/libs/targets/src/bergamotsail/targets/_header_values.py
+++ b/libs/targets/src/bergamotsail/targets/_header_values.py
@@ -53,7 +53,8 @@
 
     A date is invalid, because it would require synchronised clocks.
 
-    Example: ``read_seconds(["1.5", "soon"])`` is 1.5 with "soon" unread.
+    Example: ``read_seconds(["1.5", "soon"])`` returns 1.5 and reports "soon"
+    as invalid.
     """
     longest_s, unread = None, None
     for text in values:
