--- a/libs/targets/src/bergamotsail/targets/_adapter_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_adapter_engine.py
@@ -71,8 +71,8 @@
         running: number of requests that run.
         at_hand: base models with a local copy, which can be loaded without
             the weight store.
-        born_ms: start time of the engine in milliseconds of Unix time, None
-            if not reported.
+        born_ms: start time of the engine in milliseconds of Unix time,
+            None if not reported.
     """
 
     models: tuple[str, ...]
--- a/libs/targets/src/bergamotsail/targets/_instances.py
+++ b/libs/targets/src/bergamotsail/targets/_instances.py
@@ -33,7 +33,8 @@
 
     Args:
         name: name of the target, the same across restarts.
-        born_ms: start time in milliseconds of Unix time, None if unknown.
+        born_ms: start time in milliseconds of Unix time, None if
+            unknown.
     """
 
     name: str
