--- a/libs/catalogue/src/bergamotsail/catalogue/_machine.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_machine.py
@@ -159,7 +159,7 @@
         revision = current.revision if current is not None else 0
         if put.if_revision is not None and put.if_revision != revision:
             return self._rejection(
-                current, f"The entry is at revision {revision}."
+                current, f"The entry stands at revision {revision}."
             )
         problem = self._put_problem(put)
         if problem is not None:
@@ -183,7 +183,7 @@
         The value is checked by itself and against the other entries.
         """
         if put.kind in _entries.VERSIONED_KINDS:
-            return "Set routes and adapter versions with their own commands."
+            return "Set routes and versions with their own commands."
         if put.value is None:
             return self._delete_problem(put)
         try:
@@ -193,9 +193,7 @@
         if isinstance(value, _entries.Member):
             holder = self.view.member_by_token.get(value.token_sha256)
             if holder not in (None, put.id):
-                return (
-                    "Another member already uses this token. Choose another."
-                )
+                return "Another member has this token. Choose another."
             return None
         if isinstance(value, (_entries.Pool, _entries.Quarantine)):
             return None
@@ -206,17 +204,14 @@
             if name not in members
         ]
         if missing:
-            return (
-                f"These members do not exist: {', '.join(missing)}. "
-                "Create them first."
-            )
+            return f"Create the members {', '.join(missing)} first."
         if value.pool not in self.view.pool_by_id:
-            return f"The pool {value.pool} does not exist. Create it first."
+            return f"Create the pool {value.pool} first."
         return None
 
     def _delete_problem(self, put: _commands.Put) -> str | None:
         if put.id not in self.view.by_kind[put.kind]:
-            return "The entry does not exist."
+            return "There is no such entry."
         used_by = [
             entry.id
             for kind in (_entries.Kind.ADAPTER, _entries.Kind.SERVICE)
@@ -228,10 +223,7 @@
             )
         ]
         if used_by:
-            return (
-                f"The entry is used by {', '.join(used_by[:5])}. "
-                "Delete those entries first."
-            )
+            return f"Delete what uses it first: {', '.join(used_by[:5])}."
         return None
 
     def _rejection(
