--- a/libs/targets/src/bergamotsail/targets/_http_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_http_engine.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadBody:
-    """Body of a load or unload order."""
+    """Body of a load, unload or cancel order."""
 
     lora_name: str
     lora_path: str = ""
