--- a/libs/targets/src/bergamotsail/targets/__init__.py
+++ b/libs/targets/src/bergamotsail/targets/__init__.py
@@ -1,12 +1,13 @@
-"""Narrow interfaces to everything outside, and their HTTP forms.
+"""Interfaces to external systems and their HTTP implementations.
 
-One small module for each kind of outside system: engines, plain services
-and the instance list. Nothing else in the project knows their protocols.
+There is one small module for each kind of system: engines, plain services
+and the instance list. Other libraries use these interfaces only and do not
+depend on the protocols.
 """
 
 from bergamotsail.targets import _adapter_engine
+from bergamotsail.targets import _header_values
 from bergamotsail.targets import _instances
-from bergamotsail.targets import _said
 from bergamotsail import wire
 
 AdapterEngine = _adapter_engine.AdapterEngine
@@ -22,10 +23,10 @@
 InstanceState = _instances.InstanceState
 whole_ms = _instances.whole_ms
 
-Flag = _said.Flag
-Seconds = _said.Seconds
-read_flag = _said.read_flag
-read_seconds = _said.read_seconds
+Flag = _header_values.Flag
+Seconds = _header_values.Seconds
+read_flag = _header_values.read_flag
+read_seconds = _header_values.read_seconds
 
 __getattr__ = wire.lazy_names(
     __name__,
--- /dev/null
+++ b/libs/targets/src/bergamotsail/targets/_header_values.py
@@ -0,0 +1,66 @@
+"""Parsers for response headers in which a target reports its own state.
+
+Invalid values are returned to the caller to be logged and never raise.
+"""
+
+import collections.abc
+import dataclasses
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Flag:
+    """A parsed flag.
+
+    Args:
+        unread: an invalid value, if there was one.
+    """
+
+    is_set: bool = False
+    unread: str | None = None
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Seconds:
+    """A parsed duration.
+
+    Args:
+        value: duration in seconds, None without a valid value.
+        unread: an invalid value, if there was one.
+    """
+
+    value: float | None = None
+    unread: str | None = None
+
+
+def read_flag(values: collections.abc.Iterable[str]) -> Flag:
+    """Parse the values of a flag: "1" is set, "0" is not.
+
+    The flag is set if any of the values is "1".
+
+    Example: ``read_flag(["0", "1"])`` is set.
+    """
+    is_set, unread = False, None
+    for text in values:
+        if text == "1":
+            is_set = True
+        elif text != "0":
+            unread = text
+    return Flag(is_set, unread)
+
+
+def read_seconds(values: collections.abc.Iterable[str]) -> Seconds:
+    """Parse the values of a duration in seconds; the longest counts.
+
+    A date is invalid, because it would require synchronised clocks.
+
+    Example: ``read_seconds(["1.5", "soon"])`` returns 1.5 and reports "soon"
+    as invalid.
+    """
+    longest_s, unread = None, None
+    for text in values:
+        whole, _, fraction = text.partition(".")
+        if text.isascii() and (whole + fraction).isdecimal():
+            longest_s = max(float(text), longest_s or 0.0)
+        else:
+            unread = text
+    return Seconds(longest_s, unread)
--- a/libs/targets/src/bergamotsail/targets/_http_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_http_engine.py
@@ -1,9 +1,9 @@
-"""Engines that speak the completion API, with adapters by name.
+"""Engines with the completions HTTP API, where models name adapters.
 
 Orders are ``POST /v1/load_lora_adapter`` and ``/v1/unload_lora_adapter``;
 runs are ``POST /v1/completions`` or ``/v1/chat/completions``, streamed as
-server-sent events. Fencing number and incarnation travel in headers, and
-each event is stamped with what produced it.
+server-sent events. Headers carry the fencing token and the expected
+incarnation. Each event names the incarnation and adapter that produced it.
 """
 
 import collections.abc
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadBody:
-    """Body of a load or unload order."""
+    """Body of a load, unload or cancel order."""
 
     lora_name: str
     lora_path: str = ""
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """The text of one event."""
+    """A choice of a completion event."""
 
     text: str
     index: int = 0
@@ -53,7 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompletionEvent:
-    """One event of an answer: its stamp, its number and its text."""
+    """One server-sent event of a completion.
+
+    Args:
+        id: id of the stream.
+        model: the adapter that produced it, as ``adapter@version``.
+        incarnation: the incarnation of the engine that produced it.
+        number: position in the stream, from 0.
+    """
 
     id: str
     model: str
@@ -66,7 +73,7 @@
     """An engine at an address.
 
     Args:
-        stream_timeout_s: the longest a whole answer may take.
+        stream_timeout_s: maximum duration of a run.
     """
 
     def __init__(
@@ -84,24 +91,26 @@
             f"{self._url}/report", timeout_s=REPORT_TIMEOUT_S
         )
         reply = await self._http.fetch(request)
-        _raise_refusal(reply)
+        _raise_for_status(reply)
         return wire.decode(reply.body, _engine.EngineReport)
 
     async def load(
         self, order: _engine.Order, adapter: str, weights: str
     ) -> None:
         body = LoadBody(adapter, weights)
-        await self._order(order, "/v1/load_lora_adapter", body, LOAD_TIMEOUT_S)
+        await self._send_order(
+            order, "/v1/load_lora_adapter", body, LOAD_TIMEOUT_S
+        )
 
     async def unload(self, order: _engine.Order, adapter: str) -> None:
         body = LoadBody(adapter)
-        await self._order(order, "/v1/unload_lora_adapter", body, 5.0)
+        await self._send_order(order, "/v1/unload_lora_adapter", body, 5.0)
 
     async def cancel(self, order: _engine.Order, stream_id: str) -> None:
         path = f"/v1/streams/{stream_id}/cancel"
-        await self._order(order, path, LoadBody(""), 5.0)
+        await self._send_order(order, path, LoadBody(""), 5.0)
 
-    async def _order(
+    async def _send_order(
         self, order: _engine.Order, path: str, body: object, timeout_s: float
     ) -> None:
         request = wire.HttpRequest(
@@ -112,7 +121,7 @@
             timeout_s=timeout_s,
             gate=order.gate,
         )
-        _raise_refusal(await self._http.fetch(request))
+        _raise_for_status(await self._http.fetch(request))
 
     async def run(
         self, order: _engine.Order, run: _engine.Run
@@ -121,12 +130,12 @@
         try:
             async for line in lines:
                 if not line.startswith(DATA_PREFIX):
-                    _raise_refusal_line(line)
+                    _raise_for_error_line(line)
                     continue
                 data = line[len(DATA_PREFIX) :].strip()
                 if data == DONE:
                     return
-                yield _chunk(wire.decode(data, CompletionEvent))
+                yield _to_chunk(wire.decode(data, CompletionEvent))
         finally:
             await lines.aclose()
 
@@ -160,7 +169,7 @@
         )
 
 
-def _chunk(event: CompletionEvent) -> _engine.Chunk:
+def _to_chunk(event: CompletionEvent) -> _engine.Chunk:
     text = "".join(choice.text for choice in event.choices)
     end = any(choice.finish_reason for choice in event.choices)
     return _engine.Chunk(
@@ -168,20 +177,23 @@
     )
 
 
-def _raise_refusal(reply: wire.HttpReply) -> None:
+def _raise_for_status(reply: wire.HttpReply) -> None:
     if reply.status < 400:
         return
     try:
         body = wire.decode(reply.body, wire.ErrorBody)
     except wire.BadMessageError as error:
         raise wire.EngineError(
-            f"The engine answered with status {reply.status}."
+            f"The engine responded with status {reply.status}."
         ) from error
     raise wire.error_from_body(body)
 
 
-def _raise_refusal_line(line: bytes) -> None:
-    """Raise the error that an engine sent in place of a stream."""
+def _raise_for_error_line(line: bytes) -> None:
+    """Raise the error that a line of a response holds, if any.
+
+    An engine that rejects a run sends an error body in place of events.
+    """
     try:
         body = wire.decode(line, wire.ErrorBody)
     except wire.BadMessageError:
