--- a/libs/quarantine/src/bergamotsail/quarantine/__init__.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/__init__.py
@@ -1,9 +1,9 @@
-"""Requests that end the targets that run them.
+"""Detection of requests that crash the targets that run them.
 
-A request that makes an engine crash comes again, at any daemon, and ends the
-next one. :func:`identity` names what its repeats share, daemons keep
-:class:`Observations` of what was lost with a target, and the leader counts
-them with an :class:`EndCounter`.
+A request that crashes an engine ("query of death") is often retried, through
+any daemon, and crashes the next one. :func:`identity` computes a key that all
+retries share, daemons collect :class:`Observations` of requests lost with a
+target, and the leader counts them with an :class:`EndCounter`.
 """
 
 from bergamotsail.quarantine import _ends
--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -1,4 +1,4 @@
-"""How many targets ended under a request, from all daemons' words."""
+"""Counts of targets lost per request, from reports of all daemons."""
 
 import collections
 import dataclasses
@@ -7,22 +7,28 @@
 from bergamotsail.quarantine import _observations
 
 _Ordered = collections.OrderedDict[str, "Suspect"]
-# Targets that a request may end before it is held back.
+# Lost targets after which a request is quarantined.
 MOST_ENDS = 3
-# A rack or a switch takes several targets at one moment, and all that runs
-# there with them; that says nothing of any one request.
+# Losses closer together than this count as one: a failed rack or switch takes
+# down several targets and all their requests, whichever they are.
 SEPARATE_S = 0.25
-# What is remembered: requests of a member, and members.
+# Bounds of memory: suspects per member, members, and targets per suspect.
 MOST_BY_MEMBER = 500
 MOST_MEMBERS = 40
 MOST_TARGETS = 16
-# In the answer to a heartbeat; 35 bytes each.
+# Suspects in one heartbeat reply; 35 bytes each.
 MOST_TOLD = 32
 
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """A request that was lost with a target, and not served since."""
+    """Loss history of a request that was lost with a target.
+
+    Args:
+        ended_at_by_target: time of the loss, by incarnation of the target.
+        served_at: latest time at which it was served.
+        ends: separate losses since it was last served.
+    """
 
     member: str
     pool: str
@@ -36,7 +42,7 @@
     def take(
         self, observation: _observations.Observation, ended_at: float
     ) -> None:
-        """Take how one run ended."""
+        """Record how one run ended."""
         if observation.end is _observations.RunEnd.SERVED:
             self.served_at = max(self.served_at, ended_at)
         elif observation.end is _observations.RunEnd.LOST:
@@ -47,7 +53,7 @@
         self.ends = self._count()
 
     def _count(self) -> int:
-        """Count the ends since it was served, those of one moment as one."""
+        """Count losses since it was served; simultaneous ones count once."""
         since = [
             ended_at
             for ended_at in self.ended_at_by_target.values()
@@ -62,15 +68,15 @@
         return count
 
     def heard_at(self) -> float:
-        """Return when something was last heard of it."""
+        """Return the time of the latest loss or success."""
         return max((*self.ended_at_by_target.values(), self.served_at))
 
 
 class _MemberSuspects:
-    """Suspects of one member, the latest last.
+    """Bounded table of one member's suspects, least recently updated first.
 
-    Most were lost beside another request, once; they make room before those
-    that were lost again.
+    Most suspects were lost once, because another request crashed their
+    target. They are evicted before those lost more than once.
     """
 
     def __init__(self) -> None:
@@ -78,11 +84,11 @@
         self.again: _Ordered = collections.OrderedDict()
 
     def get(self, identity: str) -> Suspect | None:
-        """Return a suspect, if it is known."""
+        """Return the suspect with this identity, or None."""
         return self.once.get(identity) or self.again.get(identity)
 
     def put(self, identity: str, suspect: Suspect) -> str | None:
-        """Put a suspect last; return who had to make room."""
+        """Insert or update a suspect; return the evicted identity, if any."""
         self.drop(identity)
         found = self.again if suspect.ends > 1 else self.once
         found[identity] = suspect
@@ -92,7 +98,7 @@
         return gone
 
     def drop(self, identity: str) -> None:
-        """Forget a suspect."""
+        """Remove a suspect, if present."""
         self.once.pop(identity, None)
         self.again.pop(identity, None)
 
@@ -101,19 +107,20 @@
 
 
 class EndCounter:
-    """Counts, by request, the targets that ended while they ran it.
+    """Counts, by request, the targets that were lost while they ran it.
 
-    Words come late, twice and in any order; the count is the same.
+    Observations may arrive late, duplicated and in any order; the count is
+    the same.
 
-    Example: a request that was lost at ``e1``, came again and was lost at
-    ``e2`` has two ends, and none once it was answered in whole.
+    Example: a request that was lost at ``e1``, retried and lost at ``e2``
+    counts two ends, and none after it got a complete response.
     """
 
     def __init__(self) -> None:
         self._by_member: collections.OrderedDict[str, _MemberSuspects] = (
             collections.OrderedDict()
         )
-        # The latest last.
+        # Least recently updated first.
         self._member_by_identity: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
@@ -122,7 +129,7 @@
     def take(
         self, observation: _observations.Observation, now: float
     ) -> Suspect:
-        """Take a daemon's word and return what is known of the request."""
+        """Record a daemon's observation and return the updated suspect."""
         identity, member = observation.identity, observation.member
         own = self._by_member.setdefault(member, _MemberSuspects())
         self._by_member.move_to_end(member)
@@ -139,12 +146,12 @@
         return suspect
 
     def ends(self, identity: str) -> int:
-        """Return how many targets ended under a request since it served."""
+        """Return how many targets a request lost since it was served."""
         suspect = self._find(identity)
         return 0 if suspect is None else suspect.ends
 
     def suspects(self) -> tuple[str, ...]:
-        """Return the latest requests that are suspected."""
+        """Return identities of the most recently updated suspects."""
         if self._told is None:
             latest = reversed(self._member_by_identity)
             found = (one for one in latest if self.ends(one) > 0)
@@ -152,14 +159,14 @@
         return self._told
 
     def forget(self, identity: str) -> None:
-        """Begin to count anew."""
+        """Remove a request, so that its count restarts at zero."""
         member = self._member_by_identity.pop(identity, None)
         if member is not None:
             self._by_member[member].drop(identity)
             self._told = None
 
     def forget_before(self, oldest: float) -> None:
-        """Forget requests of which nothing was heard since a moment."""
+        """Remove requests whose latest observation is before *oldest*."""
         while self._member_by_identity:
             identity = next(iter(self._member_by_identity))
             suspect = self._find(identity)
--- a/libs/quarantine/src/bergamotsail/quarantine/_identity.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_identity.py
@@ -1,4 +1,4 @@
-"""What repeats of one request have in common."""
+"""Stable identity of a request across its retries."""
 
 import hashlib
 
@@ -7,16 +7,16 @@
 
 
 def identity(member: str, *parts: str | bytes) -> str:
-    """Return a name that repeats of a request share, and nothing else does.
+    """Return a digest that is the same for every retry of a request.
 
-    Requests of two members never have the same name. What was asked can't
-    be read from it, so it may stand in logs.
+    The member is part of it, so requests of two members never share an
+    identity. The content can't be recovered from it, so it may be logged.
 
     Example: ``identity("tahi", "POST", "/quotes", b"hem")`` is the same at
     every daemon and after every restart.
 
     Args:
-        parts: all that makes a target do the same work again.
+        parts: everything that determines the work of the target.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (member, *parts):
--- a/libs/quarantine/src/bergamotsail/quarantine/_observations.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_observations.py
@@ -1,4 +1,4 @@
-"""What one daemon saw of requests that were lost with their target."""
+"""A daemon's observations of requests that were lost with their target."""
 
 import collections
 import dataclasses
@@ -6,15 +6,15 @@
 
 from bergamotsail import wire
 
-# A caller that comes back later than this begins anew.
+# Older observations are dropped: a retry after this counts as a new request.
 KEPT_S = 600.0
 MOST_KEPT = 256
-# In one heartbeat; some 150 bytes each.
+# Observations in one heartbeat; about 150 bytes each.
 MOST_TOLD = 32
 
 
 class RunEnd(enum.StrEnum):
-    """How a run ended, as the daemon that sent it there saw it."""
+    """How a run ended, as seen by the daemon that sent the request."""
 
     LOST = "lost"
     SERVED = "served"
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A request at a target.
+    """One execution of a request at a target.
 
     Args:
-        identity: what repeats of the request share.
-        member: whose request it is.
-        target: the start of a target.
+        identity: shared by all retries of the request.
+        member: owner of the request.
+        target: incarnation of the target.
     """
 
     identity: str
@@ -39,10 +39,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """How a run ended, as it is told to the leader.
+    """How a run ended, as reported to the leader.
 
     Args:
-        ended_ago_s: when it ended, in seconds before now.
+        ended_ago_s: age of the end when it is reported, in seconds.
     """
 
     identity: str
@@ -62,9 +62,9 @@
 
 
 class Observations:
-    """Keeps what was seen, and tells each leader once.
+    """Buffers observations and reports each of them once per leader.
 
-    A leader that is new has heard nothing, so all is told again.
+    A new leader starts without observations, so all are reported again.
     """
 
     def __init__(self, clock: wire.Clock = wire.LoopClock()) -> None:
@@ -80,15 +80,21 @@
 
     @property
     def any_suspect(self) -> bool:
-        """Whether any request is suspected; else identities don't matter."""
+        """Whether any request is suspected.
+
+        Without suspects no identity has to be looked up.
+        """
         return bool(self._lost_here or self._told_suspects)
 
     def suspected(self, identity: str) -> bool:
-        """Whether a request was lost with a target, and not served since."""
+        """Whether a request is a suspect, locally or at the leader."""
         return identity in self._lost_here or identity in self._told_suspects
 
     def note(self, run: Run, end: RunEnd) -> None:
-        """Note how a run ended, unless that says nothing new."""
+        """Record how a run ended.
+
+        Other ends than losses matter only for suspects.
+        """
         if end is RunEnd.LOST:
             self._lost_here.add(run.identity)
         elif not self.suspected(run.identity):
@@ -99,14 +105,14 @@
         self._seen.append(_Seen(self._number, run, self._clock.now(), end))
 
     def take_suspects(self, identities: tuple[str, ...]) -> None:
-        """Take what the leader suspects, from all daemons' words."""
+        """Replace the suspects reported by the leader."""
         self._told_suspects = frozenset(identities)
 
     def forget(self, identities: frozenset[str]) -> None:
-        """Forget requests that were judged.
+        """Remove requests that the leader has quarantined.
 
-        Told again to a later leader, they would be held back again though
-        an operator let them run.
+        Reported again to a later leader, their observations would
+        quarantine them again although an operator had released them.
         """
         if identities and any(
             seen.run.identity in identities for seen in self._seen
@@ -117,7 +123,10 @@
             self._lost_here -= identities
 
     def pending(self, term: int) -> tuple[int, tuple[Observation, ...]]:
-        """Return what the leader of a term lacks, and the last number."""
+        """Return the last number and the observations to report to a leader.
+
+        The number is for :meth:`told` once the leader has replied.
+        """
         self._forget_old()
         if term != self._told_term:
             self._told_term, self._told_number = term, 0
@@ -128,7 +137,7 @@
         return last, tuple(_observation(seen, now) for seen in told)
 
     def told(self, term: int, number: int) -> None:
-        """Note that the leader of a term has heard all up to a number."""
+        """Mark observations up to a number as received by the leader."""
         if term == self._told_term:
             self._told_number = number
 
