--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -1,8 +1,9 @@
-"""The leader's part of holding back requests that end targets.
+"""Quarantine of requests that crash targets, on the leader.
 
-What is counted is soft state of one term, told again by daemons to whoever
-leads next. Who is held back stands in the log: a restart of all would let
-the request end three more targets.
+Loss counts are soft state of one term; daemons report their observations
+again to the next leader. Quarantined requests are kept in the replicated log:
+otherwise, after a restart of all replicas, such a request would crash three
+more targets.
 """
 
 import asyncio
@@ -16,15 +17,14 @@
 from bergamotsail import quarantine
 from bergamotsail import wire
 
-# A request that is held back may run again after so long, and after twice as
-# long for each further target that it ends.
+# Initial quarantine; doubled for each further target that the request crashes.
 HOLD_S = 900.0
 MOST_HOLD_S = 86_400.0
-# Entries of one member; its oldest one goes first.
+# Quarantine entries per member; the oldest is evicted first.
 MOST_HELD_BY_MEMBER = 100
 NOTE_TIMEOUT_S = 0.2
 OPERATOR = "leader"
-# One copy of a suspected request runs at a time, for so long at most.
+# Longest that one copy of a suspected request may block the others.
 MOST_ALONE_S = 10.0
 
 Propose = collections.abc.Callable[
@@ -33,7 +33,7 @@
 
 
 class _Alone:
-    """The only copy of a request that runs now."""
+    """Exclusive execution of a suspected request by one daemon."""
 
     def __init__(self, boot: str, since: float) -> None:
         self.boot = boot
@@ -42,10 +42,10 @@
 
 
 class Quarantine:
-    """Decides for one term which requests are held back, and for how long.
+    """Decides in one term which requests are quarantined, and how long.
 
     Args:
-        view: gives the catalogue, in which they stand.
+        view: returns the catalogue, which holds the quarantine entries.
         propose: commits a command.
     """
 
@@ -62,21 +62,20 @@
         self._clock = clock
         self._counter = quarantine.EndCounter()
         self._due: dict[str, catalogue.Quarantine | None] = {}
-        # When the entry at a revision was first seen, by this leader.
+        # When this leader first saw an entry, by identity and revision.
         self._seen_at: dict[tuple[str, int], float] = {}
         self._settling = asyncio.Lock()
         self._alone_by_identity: dict[str, _Alone] = {}
 
     def suspects(self) -> tuple[str, ...]:
-        """Return requests of which a whole answer is worth telling."""
+        """Return requests whose complete response is to be reported."""
         return self._counter.suspects()
 
     async def run_alone(self, boot: str, identity: str, wait_s: float) -> bool:
         """Return whether a daemon may run a suspected request now.
 
-        Copies that come in one moment would each end a target before the
-        first end is counted; so the others wait until it is known how the
-        first one ends.
+        Concurrent copies would each crash a target before the first crash
+        is counted, so the others wait for the outcome of the first one.
         """
         try:
             async with asyncio.timeout(wait_s):
@@ -87,7 +86,11 @@
         return not self._is_held(identity)
 
     def _other_copy(self, boot: str, identity: str) -> _Alone | None:
-        """Return what has to end first; None when this copy may run."""
+        """Return the running copy to wait for.
+
+        Returns:
+            None when this copy may run; it is then the running one.
+        """
         if self._counter.ends(identity) == 0 or self._is_held(identity):
             return None
         now = self._clock.now()
@@ -102,9 +105,9 @@
         return entry is not None and entry.value.held
 
     def _end_alone(self, boot: str, identity: str) -> None:
-        """Let the next copy run, if this daemon ran the only one.
+        """End the exclusive execution of a request by this daemon.
 
-        Of a request that was served meanwhile all copies may run.
+        It ends for every daemon once the request has been served.
         """
         alone = self._alone_by_identity.get(identity)
         if alone is None:
@@ -119,7 +122,7 @@
         observations: collections.abc.Sequence[quarantine.Observation],
         told_at: float,
     ) -> None:
-        """Take a daemon's word, and put in the log what follows from it."""
+        """Process a daemon's observations and commit the decisions."""
         for observation in observations:
             suspect = self._counter.take(observation, told_at)
             ended_at = told_at - observation.ended_ago_s
@@ -151,7 +154,8 @@
         )
         if served:
             self._due.pop(identity, None)
-        # What an entry of the log was made of is told again to a new leader.
+        # Observations that led to the present entry are reported again to a
+        # new leader; they must not count twice.
         if entry is not None and ended_at <= self._known_since(entry):
             return
         if served:
@@ -168,12 +172,12 @@
             )
 
     def _known_since(self, entry: catalogue.Entry) -> float:
-        """Return since when this leader knows an entry as it stands."""
+        """Return when this leader first saw the entry at this revision."""
         key = (entry.id, entry.revision)
         return self._seen_at.get(key, self._clock.now())
 
     async def tend(self) -> None:
-        """Let requests run again in time; do what could not be done."""
+        """Release requests in time, evict old entries, retry failed writes."""
         now = self._clock.now()
         self._counter.forget_before(now - quarantine.KEPT_S)
         entries = self._view().quarantine_by_id
@@ -201,7 +205,7 @@
         await self._settle()
 
     async def _settle(self) -> None:
-        """Put what is due in the log; what fails is due again."""
+        """Commit pending changes; the rest is retried after a failure."""
         if self._settling.locked():
             return
         async with self._settling:
@@ -228,7 +232,7 @@
                 await self._propose(catalogue.Command(put=put))
         except (wire.ServingError, TimeoutError) as error:
             logging.info(
-                "quarantine: %s is not noted yet. %r", identity, error
+                "quarantine: %s is not committed yet. %r", identity, error
             )
             return False
         if value is not None and value.held:
@@ -243,7 +247,7 @@
 
 
 def hold_s(ends: int) -> float:
-    """Return how long a request is held that ended so many targets.
+    """Return the quarantine of a request that crashed so many targets.
 
     Example: 900 s after 3 ends, 1,800 s after 4, a day at most.
     """
@@ -260,7 +264,7 @@
 def _beyond(
     entries: collections.abc.Mapping[str, catalogue.Entry],
 ) -> collections.abc.Iterator[str]:
-    """Yield the oldest entries of members that have too many."""
+    """Yield identities of the oldest entries above each member's limit."""
     by_member: dict[str, list[catalogue.Entry]] = collections.defaultdict(list)
     for entry in entries.values():
         by_member[entry.value.member].append(entry)
