--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -1,7 +1,7 @@
 """The leader's side of sessions: leases, shares, targets and turns.
 
-All of it is soft state of one term. What a new leader can't know, leases
-and shares given before its election, it waits out.
+All of it is soft state of one term. A new leader can't know the leases and
+shares granted before its election, so it waits until they have expired.
 """
 
 import abc
@@ -26,59 +26,59 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-# Sessions outlive a heartbeat that was refused; the lead of the log does not
-# outlive a replica that is later than its election.
+# Heartbeats are shed at this event-loop lag: a session survives a refused
+# heartbeat, but leadership is lost when a replica lags by an election timeout.
 HEARTBEAT_SHED_S = 0.3
 MAX_EFFECTS = 500
-# Bytes of changes in the answer to a heartbeat; a link of 1 Mbit/s carries
-# them in 0.5 s, and a daemon waits for an answer for 0.6 s and more.
+# Bytes of catalogue changes in a heartbeat reply. A 1 Mbit/s link transfers
+# them in 0.5 s; daemons wait at least 0.6 s for a reply.
 MAX_EFFECT_BYTES = 65_536
 STATE_BATCH = 500
-# Bytes of one piece of a table: what a link of 1 Mbit/s carries well within
-# the second after which a fetch without a piece is given up.
+# Bytes in one piece of a route table: a 1 Mbit/s link transfers it well within
+# the second without a piece after which a fetch is aborted.
 STATE_PART_BYTES = 32_768
 RELAY_TIMEOUT_S = 2.0
 ASSIGN_INTERVAL_S = 0.25
 LEAD_POLL_S = 0.05
 MILLI = 1000
-# A heartbeat that meets no leader waits so long for one. Daemons wait 0.6 s
-# for an answer, and an election takes 0.5 to 0.9 s.
+# Longest that a heartbeat is held while there is no leader. Daemons wait 0.6 s
+# for a reply, and an election takes 0.5 to 0.9 s.
 HOLD_S = 0.45
 HOLD_POLL_S = 0.02
 
 
 class UseKeeper(abc.ABC):
-    """Keeps count of the requests that run at targets."""
+    """Tracks the requests that run at targets."""
 
     @abc.abstractmethod
     def take_uses(
         self, boot: str, uses: collections.abc.Sequence[_messages.Use]
     ) -> None:
-        """Take all that a daemon runs now."""
+        """Replace what is known of a daemon's running requests."""
 
     @abc.abstractmethod
     def drop_uses(self, boot: str) -> None:
-        """Forget a daemon whose session ended."""
+        """Remove a daemon whose session ended."""
 
     @abc.abstractmethod
     def targets_changed(
         self, known: collections.abc.Sequence[_messages.TargetInfo]
     ) -> None:
-        """Look at the targets again."""
+        """Process a change of the known targets."""
 
     def on_new_start(
         self, told: collections.abc.Callable[[str, int], None]
     ) -> None:
-        """Say whom to tell of a target that says it started anew.
+        """Register a callback for targets that report a restart.
 
         Args:
-            told: takes the incarnation that was known, and when the target
-                says that it started, in milliseconds of Unix time.
+            told: called with the incarnation known so far, and the start
+                time that the target reports, in milliseconds of Unix time.
         """
 
 
 class _Session:
-    """What the leader knows of one boot of a daemon."""
+    """The leader's record of one daemon process (boot)."""
 
     def __init__(self, daemon: _messages.DaemonInfo) -> None:
         self.daemon = daemon
@@ -90,8 +90,11 @@
 class _Term:
     """The soft state of one term of leadership.
 
-    Args:
-        sharers: daemons that may hold shares given by earlier leaders.
+    Attributes:
+        undeclared: boots that may hold shares granted by earlier leaders,
+            and have not declared them in this term.
+        lapsed_until_by_boot: when the runs of a silent daemon have ended
+            for certain.
     """
 
     def __init__(
@@ -108,7 +111,6 @@
         self.ledger = _ledger.Ledger()
         self.notes = notes
         self.undeclared: set[str] = set()
-        # When the runs of a silent daemon have surely ended.
         self.lapsed_until_by_boot: dict[str, float] = {}
         self.fleet = _fleet.Fleet()
         self.session_by_boot: dict[str, _Session] = {}
@@ -118,11 +120,11 @@
 
 
 class Coordinator:
-    """Answers daemons on a replica; an async context manager.
+    """Serves daemon sessions on a replica; an async context manager.
 
     Args:
-        use_keeper: with one, the leader itself gives the orders to all
-            targets, under its term as fencing number, and grants none.
+        use_keeper: if given, the leader grants no ownership of targets but
+            sends all orders itself, with its term as the fencing token.
     """
 
     def __init__(
@@ -166,11 +168,14 @@
         await self._background.stop()
 
     def attach(self, digest: _digest.Digest) -> None:
-        """Give the digest of this instance's own daemon."""
+        """Set the digest of the daemon on this instance.
+
+        A new leader starts its term from it.
+        """
         self._digest = digest
 
     def serve(self, server: wire.PeerServer) -> None:
-        """Answer the calls of daemons."""
+        """Register the handlers of calls from daemons."""
         server.serve(_messages.HEARTBEAT, self.on_heartbeat, HEARTBEAT_SHED_S)
         server.serve(_messages.STATE, self.on_state)
         server.serve(_messages.COMMAND, self.on_command)
@@ -215,8 +220,8 @@
         self._take_leaving(term, request)
         if self._use_keeper is not None:
             self._use_keeper.take_uses(daemon.boot, request.uses)
-        # What was acknowledged was applied here first, so this index covers
-        # it; commit may be ahead of what the effects show.
+        # The applied index covers every acknowledged change, since changes
+        # are applied here first. The commit index may be ahead of *effects*.
         commit = self._machine.view.index
         effects, behind = self._effects(request)
         reply = _messages.HeartbeatReply(
@@ -237,7 +242,7 @@
     async def on_state(
         self, request: _messages.StateRequest
     ) -> collections.abc.AsyncIterator[_messages.StatePiece]:
-        """Stream what changed in the view, or all of it."""
+        """Stream the changes since *after*, or else the whole view."""
         index = self._machine.view.index
         effects = None
         if request.after is not None:
@@ -280,7 +285,7 @@
     async def on_find_claim(
         self, request: _messages.FindClaim
     ) -> _messages.CommandReply:
-        """Look a key up."""
+        """Look up the claim recorded under an idempotency key."""
         if not self._node.holds_lease():
             return await self._relay(_messages.FIND_CLAIM, request)
         found = self._machine.find_claim(request.member, request.key)
@@ -289,7 +294,7 @@
     async def on_turn(
         self, request: _messages.TurnRequest
     ) -> _messages.TurnReply:
-        """Queue a load for its store."""
+        """Wait for a turn at a weight store."""
         if not self._node.holds_lease():
             return await self._relay(
                 _messages.TURN, request, request.wait_s + RELAY_TIMEOUT_S
@@ -298,7 +303,7 @@
         return await queue.take(request, self._weights())
 
     async def on_turn_end(self, request: _messages.TurnEnd) -> _messages.Done:
-        """Let the next load start."""
+        """End a turn, so that the next load can start."""
         if not self._node.holds_lease():
             return await self._relay(_messages.TURN_END, request)
         self._store(request.store).end(request.turn, self._weights())
@@ -307,7 +312,7 @@
     async def on_alone(
         self, request: _messages.AloneRequest
     ) -> _messages.AloneReply:
-        """Let one copy at a time run of a request that is suspected."""
+        """Admit one copy of a suspected request at a time."""
         if not self._node.holds_lease():
             timeout_s = request.wait_s + RELAY_TIMEOUT_S
             return await self._relay(_messages.ALONE, request, timeout_s)
@@ -320,7 +325,7 @@
     async def on_status(
         self, request: _messages.Status
     ) -> _messages.StatusReply:
-        """Describe the log and the sessions."""
+        """Report the state of the log and the sessions."""
         if not self._node.holds_lease():
             return await self._relay(_messages.STATUS, request)
         config = self._node.config
@@ -337,10 +342,10 @@
         )
 
     async def _leads_soon(self, hold_s: float) -> bool:
-        """Whether this replica leads; waits while no leader is heard.
+        """Whether this replica leads; waits while no leader is known.
 
-        Who beats while there is no leader hears of the next one as soon as
-        it leads, instead of a pause later.
+        Holding a heartbeat during an election lets the daemon learn of the
+        new leader at once, instead of with its next heartbeat.
         """
         gives_up_at = self._clock.now() + hold_s
         while not self._node.holds_lease():
@@ -356,7 +361,7 @@
         request: object,
         timeout_s: float = RELAY_TIMEOUT_S,
     ) -> object:
-        """Pass a call on to the leader, once."""
+        """Forward a call to the leader, at most over one hop."""
         leader = self._node.leader
         mine = leader is None or leader.address == self._address
         if mine or request.relayed or not self._node.hears_leader:
@@ -369,7 +374,7 @@
     # Parts of a heartbeat.
 
     def _current(self) -> _Term:
-        """Return the soft state of this term, new with each term."""
+        """Return the soft state of the present term; reset on a new term."""
         if self._term.term != self._node.term:
             self._term = self._new_term(self._node.term, self._clock.now())
             self._take_over(self._term)
@@ -385,12 +390,12 @@
         return _Term(number, now, held_back, notes)
 
     def _take_over(self, term: _Term) -> None:
-        """Start a term from what this replica's own daemon knew.
+        """Initialise a term from the digest of this replica's own daemon.
 
-        An empty start would tell every daemon that there are no targets
-        until the list is read and each owner has sent a heartbeat. A
-        daemon that is gone meanwhile loses its session as if it had been
-        seen now, which is no sooner than any lease of it can have ended.
+        An empty state would tell every daemon that there are no targets
+        until the list is read and each owner has sent a heartbeat. Sessions
+        count as seen now, so the session of a daemon that is gone expires
+        no sooner than its last lease can have ended.
         """
         for daemon in self._digest.daemon_by_boot.values():
             session = _Session(daemon)
@@ -408,26 +413,31 @@
         self._publish_fleet(term)
 
     def _settled(self, term: _Term) -> bool:
-        """Whether leases given by earlier leaders have surely ended."""
+        """Whether all leases granted by earlier leaders have expired."""
         since_s = self._clock.now() - term.started_at
         return since_s > self._timing.surely_ended_s
 
     def _may_raise(self, term: _Term) -> bool:
         """Whether shares may grow.
 
-        Either earlier leaders' leases have ended, or all daemons that may
-        hold shares of theirs have said what they hold: leads that moved
-        each 2.5 s refused callers where only the former counted.
+        Either earlier leaders' leases have expired, or all daemons that may
+        hold shares from them have declared what they hold. With the first
+        condition alone, callers were refused when leadership moved every
+        2.5 s.
         """
         return self._settled(term) or not term.undeclared
 
     def _declare(self, term: _Term, request: _messages.Heartbeat) -> None:
-        """Take a daemon's word for its shares, if it may be relied on."""
+        """Record the shares that a daemon declares.
+
+        Until its declaration covers the grants of earlier leaders, it counts
+        as holding at least what the log notes for it.
+        """
         boot = request.daemon.boot
         self._end_former_starts(term, request.daemon)
         if request.digest_term == term.term:
-            # Sent after a reply of this term, so after all of earlier ones:
-            # no share that it was given is missing from its word.
+            # The daemon has processed a reply of this term, so its
+            # declaration includes every share from earlier leaders.
             term.undeclared.discard(boot)
         held_by_key = dict(request.held_by_key)
         if boot in term.undeclared:
@@ -440,9 +450,9 @@
     def _end_former_starts(
         self, term: _Term, daemon: _messages.DaemonInfo
     ) -> None:
-        """Free what an earlier start at the same address had in use.
+        """Free the shares of earlier processes at the daemon's address.
 
-        Two processes can't listen at one address, so it has ended.
+        Two processes can't listen on one address, so they have ended.
         """
         for boot in list(term.lapsed_until_by_boot):
             sharer = self._machine.sharer_by_boot.get(boot)
@@ -452,7 +462,7 @@
                 self._free_shares(term, boot, "started again")
 
     def _set_lapsed(self, term: _Term, boot: str, runs_last_s: float) -> None:
-        """Hold the shares of a silent daemon until its runs have ended."""
+        """Set when the runs of a silent daemon have ended for certain."""
         runs_s = runs_last_s * (1 + self._timing.drift)
         lasts_s = max(runs_s, self._timing.surely_ended_s)
         heard_at = term.started_at
@@ -472,9 +482,10 @@
         request: _messages.Heartbeat,
         share_by_key: dict[str, int],
     ) -> dict[str, int]:
-        """Lower shares to what the log allows.
+        """Cap shares at what the replicated log notes for the daemon.
 
-        Rates are noted by no amount: nothing outlasts the lease there.
+        Amounts are noted for concurrency only: a share of a rate is not
+        used beyond the lease. It may grow for any daemon in the log.
         """
         boot = request.daemon.boot
         allowed = {}
@@ -501,7 +512,7 @@
                 self._put_target(term, info, info.leaving)
 
     def _take_leaving(self, term: _Term, request: _messages.Heartbeat) -> None:
-        """Take what targets told a daemon, ahead of the list."""
+        """Mark targets as leaving that told a daemon so, before the list."""
         news = [
             target
             for target in request.leaving
@@ -559,7 +570,7 @@
                 continue
             share = term.ledger.grant(key, boot, limit, may_raise)
             if boot in term.undeclared:
-                # What the log allows is rounded up, so it is no share.
+                # The noted amount is rounded up, so it can't be a share.
                 share = min(share, request.held_by_key.get(key, 0))
             shares[key] = share
         return shares
@@ -581,7 +592,7 @@
     # Tasks while leading.
 
     async def _read_list(self) -> None:
-        """Read the list at intervals, and at once with a new lead."""
+        """Read the instance list periodically, and at once in a new term."""
         read_at = float("-inf")
         read_in = -1
         while True:
@@ -606,7 +617,7 @@
             self._publish_fleet(term)
 
     def _take_new_start(self, target: str, born_ms: int) -> None:
-        """Take a target's own word that it started anew."""
+        """Record a restart that the target itself reported."""
         term = self._current()
         start = term.fleet.started(target, born_ms)
         observe.log_event("list", "new_start", target=target, now=start)
@@ -615,13 +626,13 @@
     async def _guarded(
         self, work: collections.abc.Callable[[], collections.abc.Awaitable]
     ) -> None:
-        """Let no failure end a task that must go on."""
+        """Run one round of a background task, and log its failure."""
         try:
             await work()
         except wire.ServingError as error:
-            logging.debug("control: Not done. %s", error.message)
+            logging.debug("control: Round aborted. %s", error.message)
         except Exception:
-            logging.exception("control: A round broke.")
+            logging.exception("control: Background round failed.")
 
     def _publish_fleet(self, term: _Term) -> None:
         known = set()
@@ -660,7 +671,7 @@
             await self._propose(catalogue.Command(raise_floor=raised))
 
     async def _tend_sharers(self, term: _Term) -> None:
-        """Free what silent daemons surely don't use, and note it."""
+        """Free shares of silent daemons and update the notes in the log."""
         now = self._clock.now()
         for boot, until in list(term.lapsed_until_by_boot.items()):
             if now > until:
@@ -693,7 +704,7 @@
                 logging.info("control: Session of %s ended.", boot)
 
     def _lapse(self, term: _Term, session: _Session) -> None:
-        """Hold back what a daemon without a lease may have in use."""
+        """Reserve what a daemon without a lease may still have in use."""
         boot = session.daemon.boot
         if boot in term.lapsed_until_by_boot:
             return
@@ -713,7 +724,7 @@
                 self._end_former_starts(term, other.daemon)
 
     async def _assign_once(self, term: _Term) -> None:
-        """Give every unowned engine an owner; then even out by one."""
+        """Grant each unowned engine to a daemon, then rebalance by one."""
         view = self._machine.view
         owned_by_boot: dict[str, list[str]] = collections.defaultdict(list)
         unowned = []
@@ -741,7 +752,7 @@
             await self._steps.reach(wire.Step.GRANT, wire.Phase.AFTER)
             owned_by_boot[chosen.boot].append(info.id)
             logging.info(
-                "control: Target %s goes to %s.", info.id, chosen.boot
+                "control: Target %s granted to %s.", info.id, chosen.boot
             )
         self._even_out(term, candidates, owned_by_boot)
 
@@ -752,7 +763,10 @@
         )
 
     def _live_owner(self, term: _Term, target: str) -> str | None:
-        """Return the owner, unless it gave up or its lease surely ended."""
+        """Return the owner, None if it released the target or is gone.
+
+        An owner without a session counts until earlier leases have expired.
+        """
         ownership = self._machine.view.ownership_by_target.get(target)
         if ownership is None or ownership.owner is None:
             return None
@@ -767,7 +781,7 @@
         candidates: list[_messages.DaemonInfo],
         owned_by_boot: dict[str, list[str]],
     ) -> None:
-        """Ask the daemon with most targets to give one back."""
+        """Select one target to hand over from the daemon that has most."""
         term.hand_over_by_boot.clear()
         if not candidates or not self._settled(term):
             return
@@ -783,10 +797,10 @@
 
 
 def limit_of(view: catalogue.View, key: str) -> int | None:
-    """Return the catalogue's limit behind a share key, None for no limit.
+    """Return the catalogue's limit for a share key, None if unlimited.
 
-    Keys are ``concurrency/KIND/ID`` and ``rate/KIND/ID``; rates count in
-    thousandths of a request a second. An entry that is gone allows nothing.
+    Keys are ``concurrency/KIND/ID`` and ``rate/KIND/ID``; rates are in
+    thousandths of a request per second. The limit of a deleted entry is 0.
     """
     what, kind, entry_id = key.split("/", 2)
     entry = view.by_kind[catalogue.Kind(kind)].get(entry_id)
@@ -803,7 +817,7 @@
     candidates: list[_messages.DaemonInfo],
     owned_by_boot: dict[str, list[str]],
 ) -> _messages.DaemonInfo:
-    """Choose the least loaded, then the nearest, then by hash."""
+    """Choose by fewest owned targets, same data centre, then hash order."""
     order = _fleet.rendezvous(info.id, [d.boot for d in candidates])
     rank_by_boot = {boot: rank for rank, boot in enumerate(order)}
     return min(
@@ -821,10 +835,11 @@
 
 
 def _may_wait(request: _messages.Heartbeat) -> bool:
-    """Whether a heartbeat may be answered late.
+    """Whether a heartbeat may be held during an election.
 
-    One that speaks of shares may not: with these held as well, limits of 40
-    were passed by up to 6 where an owner is cut off (seeds 1 and 2 of 5).
+    One that declares shares may not: when those were held too, limits of 40
+    were exceeded by up to 6 while an owner was partitioned, in the runs with
+    seeds 1 and 2 of 5.
     """
     return not request.held_by_key and not request.wanted_by_key
 
