--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -20,7 +20,7 @@
 CALL_TIMEOUT_S = 1.0
 COMMAND_TIMEOUT_S = 3.0
 STATE_TIMEOUT_S = 30.0
-# A fetch goes on for as long as pieces come.
+# A fetch of the state is aborted after this long without a piece.
 STATE_SILENCE_S = 1.0
 KICK_SPACING_S = 0.02
 MOST_REPLICAS = 9
@@ -28,22 +28,24 @@
 MOST_NEIGHBOURS = 2
 DIRECT_EVERY_S = 2.0
 STALE_PACE = 3
-# All daemons together send about so many heartbeats a second at most: each is
-# a call of the leader, and a call for a place takes that some 0.4 ms. With 80
-# daemons that is one each 0.53 s.
+# Upper bound for heartbeats per second of all daemons together, to limit the
+# load on the leader, where a placement call takes 0.4 ms. With 80 daemons each
+# sends one every 0.53 s.
 MOST_BEATS_PER_S = 150.0
-# However many daemons there are, a lease outlives the loss of two of them.
+# Heartbeats per lease, however many daemons there are: a lease survives the
+# loss of two.
 BEATS_BY_LEASE = 3
-# So many while they look for a lost leader; most are refused at little cost.
+# The bound while daemons search for a leader; most of these heartbeats are
+# refused cheaply.
 MOST_SEARCHES_PER_S = 300.0
 CATCH_UP_POLL_S = 0.01
-# Answers whose lease waits for a fetch; the first ones are the first that
-# what is fetched covers.
+# Renewals that wait for a fetch. Later ones are dropped, since the fetched
+# state covers the earliest commit indexes first.
 MOST_WAITING = 100
 
 
 class Participant(abc.ABC):
-    """What a session asks of the rest of its daemon at each heartbeat."""
+    """The rest of a daemon, as its session uses it at each heartbeat."""
 
     @abc.abstractmethod
     def held_by_key(self) -> dict[str, int]:
@@ -51,38 +53,38 @@
 
     @abc.abstractmethod
     def wanted_by_key(self) -> dict[str, int]:
-        """Return the share of each limit that could be used."""
+        """Return the share of each limit for which there is demand."""
 
     @abc.abstractmethod
     def take_shares(self, share_by_key: dict[str, int]) -> None:
-        """Use these shares from now on."""
+        """Apply the shares that the leader granted."""
 
     @abc.abstractmethod
     def statuses(self) -> tuple[_messages.TargetStatus, ...]:
-        """Return what is known of owned targets."""
+        """Return the status of each owned target."""
 
     def promise_runs(self) -> float:
-        """Return after how long all that is admitted has ended, in seconds.
+        """Return an upper bound for the time admitted work runs, in seconds.
 
-        It holds from now on, also for what is admitted later, until
-        :meth:`promised_runs` allows more.
+        It binds also what is admitted later, until :meth:`promised_runs`
+        confirms that the leader knows of a higher bound.
         """
         return 0.0
 
     def promised_runs(self) -> None:
-        """Admit what ends within the last promise, as it was taken."""
+        """Apply the last bound, which the leader has acknowledged."""
 
     def uses(self) -> tuple[_messages.Use, ...]:
-        """Return the requests that run at targets now."""
+        """Return the requests that are running at targets."""
         return ()
 
     @abc.abstractmethod
     def hand_over(self, targets: tuple[str, ...]) -> None:
-        """Start to give these targets back."""
+        """Start to release the ownership of these targets."""
 
     @abc.abstractmethod
     def view_changed(self) -> None:
-        """Look at the view and the digest again."""
+        """Process changes of the view and the digest."""
 
 
 class Bystander(Participant):
@@ -112,10 +114,10 @@
 
 
 class Leader:
-    """Finds the leader and calls it, through any replica.
+    """Client of the leader; finds it through any replica.
 
     Args:
-        seeds: addresses of the replicas.
+        seeds: addresses of replicas to start from.
     """
 
     def __init__(
@@ -131,44 +133,44 @@
 
     @property
     def moved(self) -> asyncio.Event:
-        """Set when another leader is found; a new event each time."""
+        """Event that is set at the next change of *address*."""
         return self._moved
 
     @property
     def address(self) -> str:
-        """Where calls for the leader go: to it, or to a neighbour."""
+        """Address for calls to the leader: its own, or a neighbour's."""
         return self._neighbour or self._leader
 
     @property
     def direct_address(self) -> str:
-        """Where the leader itself was last."""
+        """Last known address of the leader itself."""
         return self._leader
 
     @property
     def neighbour(self) -> str | None:
-        """Through whom calls for the leader go, None when directly."""
+        """Address of the relaying daemon, None without a relay."""
         return self._neighbour
 
     def go_through(self, neighbour: str | None) -> None:
-        """Let calls go through another daemon, or directly again."""
+        """Relay calls through another daemon, or None to call directly."""
         if neighbour != self._neighbour:
-            logging.info("session: Calls go through %s.", neighbour)
+            logging.info("session: Leader is called via %s.", neighbour)
             self._neighbour = neighbour
             self._has_moved()
 
     def found(self, address: str) -> None:
-        """Send calls for the leader there from now on."""
+        """Set the address of the leader."""
         if address != self._leader:
             self._leader = address
             self._has_moved()
 
     def _has_moved(self) -> None:
-        """Wake those who wait for a call to go elsewhere."""
+        """Wake the tasks that wait for a change of address."""
         self._moved.set()
         self._moved = asyncio.Event()
 
     def learn(self, addresses: collections.abc.Sequence[str]) -> None:
-        """Ask these replicas too; the first seeds may be gone by then."""
+        """Add replicas to the seeds, since the first seeds may disappear."""
         known = [a for a in self._seeds if a not in addresses]
         self._seeds = [*addresses, *known][:MOST_REPLICAS]
 
@@ -185,8 +187,8 @@
             before_try: called right before the request is sent to one.
 
         Raises:
-            PeerLostError: an answer was lost, so the call may have run.
-            ServingError: the last error, when no replica helped.
+            PeerLostError: a reply was lost, so the call may have run.
+            ServingError: the last error, when every replica failed.
         """
         order = [self._leader]
         order += [seed for seed in self._seeds if seed != self._leader]
@@ -211,7 +213,7 @@
             except (wire.NotSentError, wire.ReplicaFailedError) as error:
                 last = error
             except wire.PeerLostError as error:
-                # Nobody knows yet who leads; ask another one first.
+                # The leader is unknown now; the next call starts elsewhere.
                 self.found(order[0] if order else address)
                 raise error
         assert last is not None
@@ -230,13 +232,14 @@
 class Session:
     """Keeps a daemon's session alive; an async context manager.
 
-    While :meth:`fresh` is true, the daemon's view holds every change that
-    was acknowledged before the lease was given, it owns what the view says
-    it owns, and it may use its shares. Once the lease ends it does nothing
-    that another daemon might by then do.
+    While :meth:`fresh` is true, the daemon's view includes every change
+    acknowledged before the lease was granted, its ownership in the view is
+    valid, and it may use its shares. After the lease has expired it does
+    nothing that another daemon may do by then.
 
     Args:
-        node: the local replica, whose machine's view is then used.
+        node: the local replica, if any.
+        machine: the state machine of that replica; its view is used.
     """
 
     def __init__(
@@ -267,7 +270,8 @@
         self._sent_at = float("-inf")
         self._fetching: asyncio.Task | None = None
         self._fetches_from = ""
-        # Index that the view needs, and when the heartbeat was sent.
+        # Renewals waiting for a fetch: the commit index that the view must
+        # reach, and when the heartbeat was sent.
         self._waiting: list[tuple[int, float]] = []
         self._sequence = 0
         self._kicked = asyncio.Event()
@@ -282,8 +286,8 @@
     def daemon_by_boot(self) -> dict[str, _messages.DaemonInfo]:
         """Daemons with a session.
 
-        A new leader hears of them one by one; for the time of a lease
-        those that its predecessor knew count as well.
+        A new leader learns of them one by one, so those known to its
+        predecessor are included for the duration of a lease.
         """
         if self._clock.now() > self._former_until:
             return self.digest.daemon_by_boot
@@ -291,23 +295,23 @@
 
     @property
     def view(self) -> catalogue.View:
-        """Catalogue and ownership as this daemon knows them."""
+        """This daemon's copy of catalogue and ownership."""
         if self._machine is not None:
             return self._machine.view
         return self._own_view
 
     @property
     def boot(self) -> str:
-        """The id of this start of the daemon."""
+        """The id of this daemon process."""
         return self.daemon.boot
 
     @property
     def lease_until(self) -> float:
-        """When the lease ends, on this daemon's clock."""
+        """When the lease expires, on this daemon's clock."""
         return self._lease_until
 
     def attach(self, participant: Participant) -> None:
-        """Connect the rest of the daemon before the session starts."""
+        """Set the participant; call it before the session starts."""
         self._participant = participant
 
     async def __aenter__(self) -> "Session":
@@ -321,21 +325,25 @@
             await asyncio.gather(self._fetching, return_exceptions=True)
 
     def silent_s(self) -> float:
-        """Return for how long the leader has not been heard."""
+        """Return the time since the heartbeat that the lease counts from."""
         sent_at = self._lease_until - self._timing.usable_s
         return self._clock.now() - sent_at
 
     @property
     def goes_through_neighbour(self) -> bool:
-        """Whether calls for the leader go through another daemon."""
+        """Whether calls to the leader are relayed by another daemon."""
         return self.leader.neighbour is not None
 
     def fresh(self) -> bool:
-        """Whether the lease holds at this moment."""
+        """Whether the lease is valid now."""
         return self._clock.now() < self._lease_until
 
     def check_fresh(self) -> None:
-        """Raise the typed refusal when the lease has ended."""
+        """Check that the lease is valid.
+
+        Raises:
+            CutOffError: the lease has expired.
+        """
         if self.fresh():
             return
         others = [
@@ -344,28 +352,28 @@
             if info.boot != self.boot and not info.leaving
         ]
         raise wire.CutOffError(
-            "This instance can't reach the leader, so it takes no work. "
+            "This instance can't reach the leader, so it accepts no requests. "
             "Use another address.",
             retry_after_s=self._timing.lease_s,
             use=others[0] if others else None,
         )
 
     def takes_work(self, target: _messages.TargetInfo) -> bool:
-        """Whether a target may be sent something new right now."""
+        """Whether new work may be sent to a target now."""
         return self.heard.takes_work(target, self._clock.now())
 
     def untold_leaving(self) -> tuple[str, ...]:
-        """Return targets that told this daemon alone that they leave."""
+        """Return leaving targets that the leader doesn't know as such."""
         return self.heard.untold(self.digest.target_by_id)
 
     def open_targets(
         self,
     ) -> collections.abc.Iterator[_messages.TargetInfo]:
-        """Yield the targets that may be sent something new right now."""
+        """Yield the targets to which new work may be sent now."""
         return filter(self.takes_work, self.digest.target_by_id.values())
 
     def owns(self, target: str, epoch: int) -> bool:
-        """Whether this daemon owns the target, right now."""
+        """Whether this daemon owns the target in this epoch now."""
         ownership = self.view.ownership_by_target.get(target)
         return (
             ownership is not None
@@ -375,11 +383,11 @@
         )
 
     def kick(self) -> None:
-        """Send a heartbeat soon, without waiting for its time."""
+        """Send the next heartbeat early."""
         self._kicked.set()
 
     def set_leaving(self) -> None:
-        """Say with the next heartbeat that this daemon is leaving."""
+        """Mark this daemon as leaving, and send that with a heartbeat."""
         self.daemon = dataclasses.replace(self.daemon, leaving=True)
         self.kick()
 
@@ -388,9 +396,9 @@
             try:
                 await self._beat()
             except wire.ServingError as error:
-                logging.debug("session: No heartbeat. %s", error.message)
+                logging.debug("session: Heartbeat failed. %s", error.message)
             except Exception:
-                logging.exception("session: A heartbeat broke.")
+                logging.exception("session: Unexpected heartbeat error.")
             self._log_freshness()
             await self._clock.sleep(KICK_SPACING_S)
             await wire.wait_event(self._kicked, self._pause_s())
@@ -399,7 +407,7 @@
     def _pause_s(self) -> float:
         """Return how long to wait before the next heartbeat.
 
-        A lost leader is asked for sooner.
+        Without a valid lease it is usually shorter, to find a leader soon.
         """
         daemons = len(self.digest.daemon_by_boot)
         usual_s = self._timing.heartbeat_s
@@ -457,13 +465,13 @@
         self._participant.view_changed()
 
     def _log_renewal(self, sent_at: float, answered_at: float) -> None:
-        """Log a lease that began or that ended before its renewal."""
+        """Log a first lease, or one that expired before its renewal."""
         if self.fresh():
             return
         now = self._clock.now()
         without_s = now - self._lease_until
         logging.info(
-            "session: Lease given. left_s=%.3f answer_s=%.3f "
+            "session: Lease granted. left_s=%.3f answer_s=%.3f "
             "catch_up_s=%.3f without=%s",
             sent_at + self._timing.usable_s - now,
             answered_at - sent_at,
@@ -476,11 +484,12 @@
         self._lease_until = max(self._lease_until, until)
 
     def take_digest(self, delta: _messages.DigestDelta) -> None:
-        """Take what a leader spreads; a new one starts from little.
+        """Apply a digest delta.
 
-        Those that its predecessors knew go on counting for a lease, also
-        over several leaders in a row: forgotten at the second, 30 known
-        daemons were 3, and callers were told of so few addresses.
+        A new leader knows few daemons at first, so those known to earlier
+        leaders are kept for the duration of a lease, also over several
+        leaders in a row. Dropping them at the second one left 3 of 30
+        daemons, and callers were told only those addresses.
         """
         if delta.full:
             self._former_by_boot = dict(self.daemon_by_boot)
@@ -490,10 +499,10 @@
     async def _send(
         self, request: _messages.Heartbeat
     ) -> _messages.HeartbeatReply:
-        """Send a heartbeat to the leader, through a neighbour if need be.
+        """Send a heartbeat to the leader, through a neighbour if needed.
 
-        An instance that is cut off from the replicas may reach others that
-        are not. These pass on no fetch, so all comes with the answer.
+        An instance that can't reach the replicas may reach daemons that
+        can. These relay no fetches, so the reply then has all changes.
         """
         neighbour = self.leader.neighbour
         if neighbour is not None:
@@ -518,23 +527,23 @@
             return reply
 
     def _sending(self) -> None:
-        """Note that a heartbeat leaves now, for this try.
+        """Record the send time of this attempt.
 
-        A lease counts from the try that was answered. Replicas hold a
-        heartbeat for a while when nobody leads; counted from the first of
-        three tries, a first lease was over when it came.
+        A lease counts from the attempt that was answered. Replicas hold
+        heartbeats during an election; counted from the first of three
+        attempts, a first lease had already expired when it arrived.
         """
         self._sent_at = self._clock.now()
 
     async def _send_as_before(
         self, request: _messages.Heartbeat, neighbour: str
     ) -> _messages.HeartbeatReply | None:
-        """Send through the same neighbour; now and then try directly."""
+        """Send through the same neighbour; periodically try directly."""
         request = dataclasses.replace(request, fetches=False)
         calls = [(neighbour, self._timing.call_s)]
         if self._clock.now() - self._direct_at > DIRECT_EVERY_S:
             self._direct_at = self._clock.now()
-            # Shortly, since the lease runs on meanwhile.
+            # Half the usual timeout, since the lease is running out.
             direct = (self.leader.direct_address, self._timing.call_s / 2)
             calls.insert(0, direct)
         for address, timeout_s in calls:
@@ -551,7 +560,7 @@
     async def _send_through_any(
         self, request: _messages.Heartbeat
     ) -> _messages.HeartbeatReply | None:
-        """Try some neighbours, each time others first."""
+        """Try some neighbours, other ones each time."""
         request = dataclasses.replace(request, fetches=False)
         neighbours = [
             info.peer_address
@@ -579,14 +588,16 @@
         """Bring the view up to the commit index of the reply.
 
         Returns:
-            False when that needs a fetch, which then runs beside further
-            heartbeats: the session goes on, the lease waits.
+            False when that needs a fetch. It runs in the background: the
+            session continues, the lease is renewed when it is done.
         """
         if self._node is not None:
             deadline = self._clock.now() + CALL_TIMEOUT_S
             while self._node.applied < reply.commit:
                 if self._clock.now() > deadline:
-                    raise wire.PeerLostError("The local replica lags.")
+                    raise wire.PeerLostError(
+                        "The local replica lags behind the commit index."
+                    )
                 await self._clock.sleep(CATCH_UP_POLL_S)
             return True
         if reply.behind:
@@ -598,7 +609,7 @@
         return True
 
     def _start_fetch(self, address: str) -> None:
-        """Fetch from this leader, unless that goes on already."""
+        """Start a fetch from this leader, unless one is running."""
         if self._fetching is not None and not self._fetching.done():
             if self._fetches_from == address:
                 return
@@ -608,14 +619,14 @@
         self._fetching = asyncio.create_task(self._fetch(address))
 
     async def _fetch(self, address: str) -> None:
-        """Fetch, and take the leases that waited for it."""
+        """Fetch the state, then renew the lease for waiting replies."""
         try:
             await self._fetch_state(address)
         except wire.ServingError as error:
-            logging.debug("session: Nothing fetched. %s", error.message)
+            logging.debug("session: Fetch failed. %s", error.message)
             return
         except Exception:
-            logging.exception("session: A fetch broke.")
+            logging.exception("session: Unexpected fetch error.")
             return
         waiting, self._waiting = self._waiting, []
         for commit, sent_at in waiting:
@@ -647,7 +658,7 @@
                 for effect in ready:
                     fresh_view.apply(effect)
         if self._own_view is not known or known.index != after:
-            # A heartbeat brought the view further meanwhile.
+            # A heartbeat has advanced the view meanwhile.
             return
         if index < after:
             return
@@ -660,4 +671,6 @@
 
 
 def _silent() -> wire.ServingError:
-    return wire.PeerLostError("No piece of the state came. Fetch it again.")
+    return wire.PeerLostError(
+        "Timed out waiting for a piece of the state. Fetch it again."
+    )
