--- a/libs/control/src/bergamotsail/control/__init__.py
+++ b/libs/control/src/bergamotsail/control/__init__.py
@@ -1,8 +1,8 @@
 """Sessions of daemons with the leader.
 
-One heartbeat carries everything between a daemon and the leader: the lease,
-catalogue changes, ownership, shares of the limits, and what is known of
-daemons and targets. :class:`Session` is the daemon's side,
+Heartbeats and their replies carry the state shared by a daemon and the
+leader: the lease, catalogue changes, ownership, shares of the limits, and the
+digest of daemons and targets. :class:`Session` is the daemon's side,
 :class:`Coordinator` the leader's.
 """
 
--- a/libs/control/src/bergamotsail/control/_digest.py
+++ b/libs/control/src/bergamotsail/control/_digest.py
@@ -1,4 +1,4 @@
-"""Soft state that the leader spreads: daemons, targets, residents."""
+"""Soft state that the leader distributes: daemons and targets."""
 
 import collections.abc
 import dataclasses
@@ -9,17 +9,17 @@
 from bergamotsail.control import _messages
 
 Item = typing.TypeVar("Item")
-# Changes in one answer, some 60 kB: a link of 1 Mbit/s carries them in the
-# 0.6 s that a daemon waits for it. All of 3,000 targets at once take a link
-# of 5 Mbit/s that long, so that no answer of a new leader came in time.
+# Changes in one reply, about 60 kB: a 1 Mbit/s link transfers them in the
+# 0.6 s that a daemon waits for it. All of 3,000 targets in one reply take that
+# long on a 5 Mbit/s link, so no reply of a new leader arrived in time.
 MOST_CHANGES = 400
 
 
 class _Table(typing.Generic[Item]):
     """Items by id, each with the version that last changed it.
 
-    The versions stand in the order of their change, so that to find the
-    latest does not take a look at all.
+    Versions are kept in ascending order, so that the latest changes are
+    found without a scan of all items.
     """
 
     def __init__(self) -> None:
@@ -44,17 +44,17 @@
         return True
 
     def since(self, version: int) -> list[tuple[int, str]]:
-        """Return what changed, as version and id, the earliest first."""
+        """Return changes after *version*, as version and id, ascending."""
         return _later(self._version_by_id, version)
 
     def gone_since(self, version: int) -> list[tuple[int, str]]:
-        """Return what went, as version and id, the earliest first."""
+        """Return removals after *version*, as version and id, ascending."""
         return _later(self._gone_by_id, version)
 
     def items(
         self, changes: collections.abc.Iterable[tuple[int, str]], until: int
     ) -> tuple[Item, ...]:
-        """Return what changed up to a version."""
+        """Return the changed items up to a version."""
         return tuple(self.by_id[one] for at, one in changes if at <= until)
 
 
@@ -76,7 +76,7 @@
 
 
 class DigestLog:
-    """The leader's side: what changed since any version of this term."""
+    """The leader's side: computes deltas since any version of its term."""
 
     def __init__(self, term: int) -> None:
         self.version = 0
@@ -85,7 +85,7 @@
         self._targets: _Table[_messages.TargetInfo] = _Table()
 
     def put_daemon(self, info: _messages.DaemonInfo) -> None:
-        """Set a daemon."""
+        """Insert or update a daemon."""
         if self._daemons.put(info.boot, info, self.version + 1):
             self.version += 1
 
@@ -95,7 +95,7 @@
             self.version += 1
 
     def put_target(self, info: _messages.TargetInfo) -> None:
-        """Set a target."""
+        """Insert or update a target."""
         if self._targets.put(info.id, info, self.version + 1):
             self.version += 1
 
@@ -111,11 +111,14 @@
 
     @property
     def target_by_id(self) -> dict[str, _messages.TargetInfo]:
-        """Targets known."""
+        """Known targets."""
         return self._targets.by_id
 
     def delta(self, term: int, version: int) -> _messages.DigestDelta:
-        """Return what a daemon at this term and version lacks."""
+        """Return the changes since this term and version.
+
+        A daemon that has another term gets all items.
+        """
         full = term != self._term
         since = 0 if full else version
         daemons = self._daemons.since(since)
@@ -135,9 +138,9 @@
         )
 
     def _until(self, *changes: list[tuple[int, str]]) -> int:
-        """Return the version up to which one answer can hold changes.
+        """Return the version up to which the changes fit into one reply.
 
-        Each change has a version of its own.
+        No two changes have the same version.
         """
         if sum(map(len, changes)) <= MOST_CHANGES:
             return self.version
@@ -146,22 +149,23 @@
 
 
 class Digest:
-    """The daemon's side: the latest soft state it heard of."""
+    """The daemon's side: its copy of the leader's soft state."""
 
     def __init__(self) -> None:
         self.term = 0
         self.version = 0
         self.daemon_by_boot: dict[str, _messages.DaemonInfo] = {}
         self.target_by_id: dict[str, _messages.TargetInfo] = {}
-        # Targets that only a former leader has told of.
+        # Targets that only former leaders have reported.
         self._former: set[str] = set()
         self._told_targets = False
 
     def apply(self, delta: _messages.DigestDelta) -> None:
-        """Take a delta; deltas of one term come in order.
+        """Apply a delta; deltas of one term arrive in order.
 
-        A new leader knows no targets until it has read the list. Those of
-        the former one count until then, and until it has told of all.
+        A new leader knows no targets until it has read the instance list.
+        Targets of the former leader are kept until then, and until the new
+        one has sent all of its own.
         """
         if delta.full:
             self.daemon_by_boot.clear()
@@ -186,7 +190,7 @@
             self._former.discard(target_id)
 
     def set_leaving(self, target: str) -> None:
-        """Mark a target that said itself that it is leaving."""
+        """Mark a target as leaving, as it reported itself."""
         info = self.target_by_id.get(target)
         if info is not None:
             self.target_by_id[target] = dataclasses.replace(info, leaving=True)
--- a/libs/control/src/bergamotsail/control/_ledger.py
+++ b/libs/control/src/bergamotsail/control/_ledger.py
@@ -1,14 +1,14 @@
-"""Shares of the catalogue's limits, given to daemons on demand.
+"""Shares of the catalogue's limits, granted to daemons on demand.
 
-The sum of what daemons may hold never exceeds a limit. A daemon says with
-each heartbeat what it holds, and holds no more than that until it has read
-the reply. A reply may raise its share by what is free, or name a lower
-share that the daemon is to come down to.
+The shares of all daemons never sum to more than a limit. A daemon declares
+with each heartbeat what it holds, and holds no more than that until it has
+read the reply. A reply may raise the share by what is free, or lower it, and
+the daemon then reduces its use to the lower share.
 
-What a daemon holds of a limit on what runs at once outlasts its lease: it
-goes on with what it admitted. So its share lapses at the end of the lease,
-in that the rest is divided among the others, and is free only once its runs
-have surely ended.
+A share of a concurrency limit outlives the daemon's lease, since requests
+that were admitted continue to run. When the lease expires, the share lapses:
+it stays reserved, the rest of the limit is divided among the other daemons,
+and it is freed once the daemon's runs have ended for certain.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 
 class Ledger:
-    """Who may hold how much of each limit, by key and boot."""
+    """Shares held, wanted and lapsed, by key of the limit and boot."""
 
     def __init__(self) -> None:
         self.held_by_key: dict[str, dict[str, int]] = collections.defaultdict(
@@ -38,7 +38,7 @@
         held_by_key: collections.abc.Mapping[str, int],
         wanted_by_key: collections.abc.Mapping[str, int],
     ) -> None:
-        """Take a daemon's word for what it holds and wants."""
+        """Set what a daemon holds and wants."""
         self.drop(boot)
         for key, held in held_by_key.items():
             if held > 0:
@@ -48,7 +48,7 @@
                 self._wanted_by_key[key][boot] = wanted
 
     def drop(self, boot: str) -> None:
-        """Take back all of a daemon that surely runs nothing any more."""
+        """Free all shares of a daemon, which must have no running work."""
         for table in (
             self.held_by_key,
             self._wanted_by_key,
@@ -58,7 +58,7 @@
                 by_boot.pop(boot, None)
 
     def held(self, boot: str) -> dict[str, int]:
-        """Return what a daemon may hold of limits on what runs at once."""
+        """Return the shares of concurrency limits a daemon may hold."""
         return {
             key: by_boot[boot]
             for key, by_boot in self.held_by_key.items()
@@ -68,22 +68,22 @@
     def lapse(
         self, boot: str, held_by_key: collections.abc.Mapping[str, int]
     ) -> None:
-        """Keep what a silent daemon may have in use from all others."""
+        """Reserve what a silent daemon may still have in use."""
         self.drop(boot)
         for key, held in held_by_key.items():
             if held > 0 and key.startswith(CONCURRENCY):
                 self._lapsed_by_key[key][boot] = held
 
     def lapsed(self, key: str) -> int:
-        """Return how much of a limit silent daemons may have in use."""
+        """Return how much of a limit is reserved for silent daemons."""
         return sum(self._lapsed_by_key[key].values())
 
     def grant(self, key: str, boot: str, limit: int, may_raise: bool) -> int:
         """Return the share that the daemon may hold from now on.
 
         Args:
-            may_raise: False while shares given by an earlier leader may be
-                held by daemons that this leader has not heard of.
+            may_raise: False while daemons unknown to this leader may hold
+                shares granted by an earlier one.
         """
         held = self.held_by_key[key]
         mine = held.get(boot, 0)
@@ -102,7 +102,7 @@
 def fair_shares(
     wanted_by_boot: collections.abc.Mapping[str, int], limit: int
 ) -> dict[str, int]:
-    """Divide a limit so that no small demand suffers from a large one.
+    """Divide a limit by max-min fairness; small demands are met first.
 
     Example: ``fair_shares({"a": 1, "b": 9}, 4)`` gives ``a`` 1 and ``b`` 3.
     """
--- a/libs/control/src/bergamotsail/control/_share_notes.py
+++ b/libs/control/src/bergamotsail/control/_share_notes.py
@@ -1,9 +1,9 @@
-"""What the log knows of shares that daemons may hold.
+"""Upper bounds of the daemons' shares, kept in the replicated log.
 
-A leader may be lost together with a daemon, so the next one can't ask how
-much of each limit a silent daemon has in use. The log tells: a daemon's
-share is noted there before the daemon may use it, rounded up so that most
-changes of a share need no entry.
+When a leader and a daemon fail together, the next leader can't ask how much
+of each limit the daemon has in use. So a bound for each share is committed to
+the log before the daemon may use the share. Bounds are rounded up to a power
+of two, so that most changes of a share need no entry.
 """
 
 import asyncio
@@ -16,10 +16,10 @@
 from bergamotsail.control import _messages
 from bergamotsail import wire
 
-# A heartbeat waits so long for the log to note its shares; a later one can
-# get them as well.
+# Longest that a heartbeat waits for its shares to be committed; after that
+# a later heartbeat gets them.
 NOTE_TIMEOUT_S = 0.2
-# A note is lowered once the daemon holds a fourth of it or less.
+# A bound is lowered once the daemon holds a quarter of it or less.
 LOWER_AT = 4
 
 Propose = collections.abc.Callable[
@@ -28,10 +28,10 @@
 
 
 class ShareNotes:
-    """Notes shares in the log; one for each term.
+    """Maintains the bounds of shares in the log during one term.
 
     Args:
-        noted: gives what the log says, by boot.
+        noted: returns the committed bounds, by boot.
         propose: commits a command.
     """
 
@@ -42,18 +42,18 @@
     ) -> None:
         self._noted = noted
         self._propose = propose
-        # Entries on their way: any of them may be the one that counts.
+        # Entries proposed but not known to be committed; any may take effect.
         self._pending_by_boot: dict[str, list[catalogue.Sharer]] = (
             collections.defaultdict(list)
         )
         self._gone: set[str] = set()
 
     def knows(self, boot: str) -> bool:
-        """Whether the log names a daemon, so that it may hold shares."""
+        """Whether the log has bounds for a daemon, so it may hold shares."""
         return boot in self._noted() and boot not in self._gone
 
     def most(self, boot: str, key: str) -> int:
-        """Return how much a daemon may hold whatever becomes of the log."""
+        """Return how much a daemon may hold, whichever entry takes effect."""
         if not self.knows(boot):
             return 0
         entries = [self._noted()[boot], *self._pending_by_boot[boot]]
@@ -65,7 +65,11 @@
         runs_last_s: float,
         held_by_key: collections.abc.Mapping[str, int],
     ) -> None:
-        """Note what a daemon is to hold, if the log allows less."""
+        """Raise the committed bounds unless they cover these shares.
+
+        Args:
+            runs_last_s: bound for the time the daemon's runs take.
+        """
         boot = daemon.boot
         known = self._noted().get(boot)
         lasts = known is not None and known.runs_last_s >= runs_last_s
@@ -78,7 +82,9 @@
             async with asyncio.timeout(NOTE_TIMEOUT_S):
                 await self._note([_sharer(daemon, runs_last_s, held_by_key)])
         except (wire.ServingError, TimeoutError) as error:
-            logging.info("control: %s is not noted yet. %r", boot, error)
+            logging.info(
+                "control: Shares of %s are not committed yet. %r", boot, error
+            )
 
     async def lower(
         self,
@@ -86,7 +92,7 @@
             tuple[_messages.DaemonInfo, collections.abc.Mapping[str, int]]
         ],
     ) -> None:
-        """Note less for daemons that hold far less than they might."""
+        """Lower the bounds of daemons that hold far less."""
         lowered = []
         for daemon, held_by_key in held:
             known = self._noted().get(daemon.boot)
@@ -102,10 +108,10 @@
             await self._note(lowered)
 
     async def forget(self, boots: set[str]) -> None:
-        """Note that these daemons surely hold nothing any more.
+        """Remove the bounds of daemons that hold nothing any more.
 
-        One that comes back meanwhile is given nothing before it is noted
-        again.
+        A daemon that returns meanwhile is granted nothing until its bounds
+        are committed again.
         """
         note = catalogue.NoteSharers(gone=tuple(sorted(boots)))
         self._gone = boots
@@ -128,9 +134,12 @@
         self, sharers: list[catalogue.Sharer], noting: asyncio.Future
     ) -> None:
         if noting.cancelled() or noting.exception() is not None:
-            # An entry whose fate is not known may still be committed, so it
-            # counts for as long as this leader leads.
-            logging.info("control: Shares of %d are in doubt.", len(sharers))
+            # The entry may still be committed, so it stays pending for the
+            # rest of this term.
+            logging.info(
+                "control: Commit of shares of %d daemons is uncertain.",
+                len(sharers),
+            )
             return
         for sharer in sharers:
             self._pending_by_boot[sharer.boot].remove(sharer)
