--- a/libs/control/src/bergamotsail/control/_fleet.py
+++ b/libs/control/src/bergamotsail/control/_fleet.py
@@ -1,4 +1,4 @@
-"""Targets as the lagging instance list shows them."""
+"""Known targets, from the instance list and their own reports."""
 
 import collections.abc
 import dataclasses
@@ -12,12 +12,16 @@
 
 @dataclasses.dataclass(slots=True)
 class _Known:
-    """A target's present start.
+    """The current incarnation of a target.
 
     Args:
-        born_ms: when it started. Its instance may not have that in its id,
-            when it was told of later.
-        said_leaving: it said so itself; the list may be late to.
+        leaving: the instance list shows it as leaving, or not at all.
+        born_ms: start time in milliseconds of Unix time, None if unknown.
+            It may be missing from the id of the instance if it was learned
+            later.
+        missing_since: when it disappeared from the list.
+        said_leaving: it reported itself that it is leaving; the list may
+            show that later.
     """
 
     instance: targets.Instance
@@ -28,34 +32,35 @@
 
 
 class Fleet:
-    """Remembers targets across gaps of the list.
+    """Tracks targets across gaps and delays of the instance list.
 
-    A target that is missing from the list is treated as leaving, since
-    that is the safe reading. A list that is empty all at once is more
-    likely a fault of the list, and changes nothing.
+    A target that is missing from the list is treated as leaving, which is
+    the safe assumption. An empty list is more likely a fault of the list,
+    and is ignored.
 
-    A target that is listed with a later start is another one. The list
-    lags, so an earlier start than the known one changes nothing, and no
-    start at all says nothing.
+    A target listed with a later start time is a new incarnation. The list
+    lags, so an entry with an earlier start time is ignored, and an entry
+    without one leaves the known incarnation in place.
     """
 
     def __init__(self) -> None:
         self._known_by_name: dict[str, _Known] = {}
 
     def remember(self, instance: targets.Instance, leaving: bool) -> None:
-        """Start from a target that was known before."""
+        """Add a target, or replace what is known of it."""
         start = targets.Incarnation.of(instance.id)
         known = _Known(instance, leaving, start.born_ms)
         self._known_by_name[start.name] = known
 
     def started(self, target: str, born_ms: int) -> str:
-        """Take a target's own word that another start of it runs now.
+        """Record a restart that a target reported itself.
 
         Args:
-            target: the incarnation that was known.
+            target: the incarnation known so far; if it is outdated, nothing
+                changes.
 
         Returns:
-            The present incarnation.
+            The current incarnation.
         """
         name = targets.Incarnation.of(target).name
         known = self._known_by_name.get(name)
@@ -68,10 +73,13 @@
         return known.instance.id
 
     def said_leaving(self, target: str) -> bool:
-        """Take a target's own word that it is leaving; whether it is news.
+        """Record that a target reported itself as leaving.
 
         Args:
-            target: the start that said so; another one changes nothing.
+            target: the incarnation that did; another one changes nothing.
+
+        Returns:
+            Whether that is new.
         """
         name = targets.Incarnation.of(target).name
         known = self._known_by_name.get(name)
@@ -84,7 +92,7 @@
     def update(
         self, instances: collections.abc.Sequence[targets.Instance], now: float
     ) -> None:
-        """Take a reading of the list."""
+        """Apply one reading of the instance list."""
         if not instances:
             return
         listed = set()
@@ -104,7 +112,7 @@
     def _take(
         self, start: targets.Incarnation, instance: targets.Instance
     ) -> None:
-        """Take an entry of the list."""
+        """Apply one entry of the instance list."""
         leaving = instance.state is targets.InstanceState.LEAVING
         known = self._known_by_name.get(start.name)
         if known is None:
@@ -141,10 +149,10 @@
 def rendezvous(
     key: str, candidates: collections.abc.Iterable[str]
 ) -> list[str]:
-    """Order candidates by their hash with a key, highest first.
+    """Order candidates by rendezvous hashing with a key, highest first.
 
-    Every daemon computes the same order, and a candidate that comes or
-    goes moves only its own keys.
+    Every daemon computes the same order, and adding or removing a candidate
+    moves only its own keys.
     """
     return sorted(
         candidates,
--- a/libs/control/src/bergamotsail/control/_floor.py
+++ b/libs/control/src/bergamotsail/control/_floor.py
@@ -1,10 +1,9 @@
-"""Forgetting old idempotency keys without trusting the wall clock.
+"""Expiry of idempotency keys that tolerates steps of the wall clock.
 
-A claim may be forgotten only if its key is refused ever after. So the
-replicated state holds a floor: a key that names an earlier time is refused.
-The floor only rises. The wall clock proposes where to, but it rises no
-faster than monotonic time passes, so that a clock step never refuses keys
-in use.
+A claim may be deleted only if its key is refused from then on. So the
+replicated state has a floor: a key with an earlier time is refused. The floor
+only rises. It follows the wall clock, but no faster than monotonic time, so
+that a clock step never causes keys in use to be refused.
 """
 
 import collections.abc
@@ -15,11 +14,11 @@
 
 
 class FloorRaiser:
-    """Says from time to time where the floor should be.
+    """Computes when and how far to raise the floor.
 
     Args:
         retention_s: how long keys are kept.
-        wall_s: wall clock, seconds since 1970.
+        wall_s: wall clock, in seconds of Unix time.
     """
 
     def __init__(
--- a/libs/control/src/bergamotsail/control/_heard.py
+++ b/libs/control/src/bergamotsail/control/_heard.py
@@ -1,8 +1,8 @@
-"""What targets said of themselves in their answers to this daemon.
+"""Notices that targets gave in their responses to this daemon.
 
-The list of targets lags and may be cut off from us; an answer is the
-target's own word, and in force at once. A target is known by its start, so
-nothing said by one start counts for the next.
+The instance list lags and may be unreachable. A notice in a response comes
+from the target itself and takes effect at once. Notices are kept by
+incarnation, so those of one incarnation don't apply to the next.
 """
 
 import collections
@@ -10,17 +10,17 @@
 
 from bergamotsail.control import _messages
 
-# Of starts that are leaving, and of pauses; the oldest are forgotten first.
+# Entries per table: leaving incarnations, and pauses. The oldest are evicted.
 MOST_HEARD = 4096
-# A target that asks for a longer pause is asked again after this. Nobody
-# could tell a mistyped header from a target that is of no use for hours.
+# Longer pauses are capped, since a mistyped header can't be distinguished from
+# a target that really is unavailable for hours.
 LONGEST_PAUSE_S = 600.0
 
 
 class Heard:
-    """Who is leaving, and who wants no work for a while.
+    """Targets that reported that they are leaving, or asked for a pause.
 
-    It has no clock: each question names the time.
+    It has no clock: callers pass the time.
     """
 
     def __init__(self) -> None:
@@ -32,17 +32,17 @@
         )
 
     def leaves(self, target: str) -> bool:
-        """Note that a target is leaving; whether that is news."""
+        """Record that a target is leaving; return whether that is new."""
         news = target not in self._leaving
         self._leaving[target] = None
         _bound(self._leaving)
         return news
 
     def pauses(self, target: str, pause_s: float, now: float) -> float:
-        """Note that a target wants no work for a while.
+        """Record that a target asked for no new work for a while.
 
         Returns:
-            When that is over. Of several pauses the latest end holds.
+            The end of the pause, the latest of several.
         """
         until = now + min(max(pause_s, 0.0), LONGEST_PAUSE_S)
         until = max(until, self._paused_until.get(target, until))
@@ -52,11 +52,11 @@
         return until
 
     def is_leaving(self, target: str) -> bool:
-        """Whether a target said that it is leaving."""
+        """Whether a target reported that it is leaving."""
         return target in self._leaving
 
     def pause_left_s(self, target: str, now: float) -> float:
-        """Return how much longer a target wants no work, in seconds."""
+        """Return the rest of a target's pause, in seconds."""
         until = self._paused_until.get(target)
         if until is None:
             return 0.0
@@ -66,15 +66,15 @@
         return until - now
 
     def takes_work(self, info: _messages.TargetInfo, now: float) -> bool:
-        """Whether a target may be sent something new now."""
+        """Whether new work may be sent to a target now."""
         return not self.is_gone(info) and not self.pause_left_s(info.id, now)
 
     def is_gone(self, info: _messages.TargetInfo) -> bool:
-        """Whether a target is leaving, by the list or its own word."""
+        """Whether a target is leaving, by the digest or its own notice."""
         return info.leaving or info.id in self._leaving
 
     def paused(self, longer_than_s: float, now: float) -> tuple[str, ...]:
-        """Return who wants no work for longer than that."""
+        """Return targets whose pause lasts longer than *longer_than_s*."""
         return tuple(
             target
             for target in list(self._paused_until)
@@ -85,7 +85,7 @@
         self,
         known_by_id: collections.abc.Mapping[str, _messages.TargetInfo],
     ) -> tuple[str, ...]:
-        """Return who is leaving that others don't know of."""
+        """Return leaving targets that the digest doesn't show as leaving."""
         return tuple(
             target
             for target in self._leaving
--- a/libs/control/src/bergamotsail/control/_relay.py
+++ b/libs/control/src/bergamotsail/control/_relay.py
@@ -1,4 +1,4 @@
-"""A daemon passes calls of a neighbour on to the leader."""
+"""Relays calls to the leader for daemons that can't reach it."""
 
 from bergamotsail.control import _session
 from bergamotsail import wire
@@ -7,11 +7,10 @@
 
 
 class Relay:
-    """Passes calls on while this daemon's own session is fresh.
+    """Relays calls to the leader while this daemon's session is fresh.
 
-    Only then is its own way to the leader known to be good. It passes
-    nothing on that came to it through another, since it answers only calls
-    that it would itself send to the leader directly.
+    Only then its own connection to the leader is known to work. A daemon
+    that itself uses a relay refuses, so there is at most one hop.
     """
 
     def __init__(
@@ -21,7 +20,7 @@
         self._transport = transport
 
     def serve(self, server: wire.PeerServer, *calls: wire.Call) -> None:
-        """Pass these calls on from now on."""
+        """Register handlers that relay these calls."""
         for call in calls:
             server.serve(call, self._handler(call))
 
@@ -35,7 +34,7 @@
         direct = not self._session.goes_through_neighbour
         if not (self._session.fresh() and direct):
             raise wire.CutOffError(
-                "This instance has no way to the leader either.",
+                "This instance can't reach the leader directly either.",
                 retry_after_s=1.0,
             )
         patience_s = getattr(request, "patience_s", 0.0)
@@ -47,7 +46,7 @@
                 patience_s + TIMEOUT_S,
             )
         except wire.NotLeaderError as error:
-            # The caller can't reach whom the error names.
+            # The caller can't reach the address in the error.
             raise wire.CutOffError(
-                "The leader moved. Ask again.", retry_after_s=0.1
+                "The leader changed. Retry the call.", retry_after_s=0.1
             ) from error
--- a/libs/control/src/bergamotsail/control/_turns.py
+++ b/libs/control/src/bergamotsail/control/_turns.py
@@ -1,8 +1,9 @@
-"""Turns at a weight store, one load at a time.
+"""Scheduling of loads from a weight store, one at a time.
 
-A store loads at full speed only one adapter at a time, and loads are what
-the system has least of. The member that used least of the store for its
-weight goes first; within a member the most urgent load.
+A store reaches full speed only with one load at a time, and load capacity is
+the scarcest resource of the system. The member with the least recent use of
+the store, relative to its weight, goes first; within a member the most urgent
+load.
 """
 
 import asyncio
@@ -24,10 +25,10 @@
 
 
 class StoreQueue:
-    """The turns of one store, on the leader only and in memory only.
+    """Queue of loads from one store, in the leader's memory only.
 
-    A new leader starts with an empty queue. At worst one load then overlaps
-    with another, which is slow but not wrong.
+    A new leader starts with an empty queue. At worst two loads then overlap,
+    which is slow but correct.
     """
 
     def __init__(self, clock: wire.Clock) -> None:
@@ -45,7 +46,11 @@
         request: _messages.TurnRequest,
         weight_by_member: dict[str, float],
     ) -> _messages.TurnReply:
-        """Wait for a turn; there may be none within ``wait_s``."""
+        """Wait for a turn.
+
+        Returns:
+            A reply without a turn if there was none within ``wait_s``.
+        """
         ready = asyncio.get_running_loop().create_future()
         waiting = _Waiting(request, ready)
         self._waiting.append(waiting)
@@ -64,7 +69,7 @@
                 self._waiting.remove(waiting)
 
     def end(self, turn: str, weight_by_member: dict[str, float]) -> None:
-        """End a turn and start the next; an old turn's end does nothing."""
+        """End a turn and start the next; an outdated turn is ignored."""
         if turn != self._turn:
             return
         self._charge()
@@ -103,7 +108,7 @@
         weight_by_member: dict[str, float],
     ) -> tuple[float, float]:
         used_s = self._used_by_member.get(member, 0.0)
-        # Rounding lets urgency decide between members that are about even.
+        # Rounding lets urgency decide between members with similar use.
         use = round(used_s / weight_by_member.get(member, 1.0))
         return (use, -waiting.request.score_by_member[member])
 
