--- a/libs/control/src/bergamotsail/control/_messages.py
+++ b/libs/control/src/bergamotsail/control/_messages.py
@@ -1,4 +1,4 @@
-"""What daemons and the leader say to each other."""
+"""Messages between daemons and the leader."""
 
 import dataclasses
 
@@ -12,13 +12,13 @@
     """Timing of sessions, in seconds.
 
     Args:
-        lease_s: how long a daemon may act after a heartbeat was sent.
-        heartbeat_s: how often it sends one.
-        drift: largest relative difference between two clocks.
-        call_s: how long an answer of the leader is waited for.
-        listed_s: a daemon that is silent for longer is not named to
-            callers any more, though its session goes on.
-        order_flight_s: the longest that an order may stay on its way to a
+        lease_s: duration of a lease, from the sending of the heartbeat.
+        heartbeat_s: interval between heartbeats.
+        drift: maximum relative rate difference between two clocks.
+        call_s: timeout for a reply of the leader.
+        listed_s: a daemon that is silent for longer is no longer listed to
+            callers, though its session continues.
+        order_flight_s: longest time that an order may be in transit to a
             target after its sender's lease ended.
     """
 
@@ -31,21 +31,25 @@
 
     @property
     def usable_s(self) -> float:
-        """How long the holder uses a lease, by its own clock."""
+        """How long the holder may use a lease, on its own clock."""
         return self.lease_s * (1 - self.drift)
 
     @property
     def surely_ended_s(self) -> float:
-        """After this long on another clock the lease has surely ended."""
+        """Time after which a lease has ended for certain, on any clock.
+
+        Includes the time that orders may be in transit.
+        """
         return self.lease_s * (1 + self.drift) + self.order_flight_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DaemonInfo:
-    """A daemon with a session. *boot* is new with every start.
+    """A daemon with a session.
 
     Args:
-        peer_address: where other daemons reach it, if it passes calls on.
+        boot: id of the process, new with every start.
+        peer_address: where other daemons reach it, if it relays calls.
     """
 
     id: str
@@ -58,16 +62,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """What the owner of a target says of it.
+    """Status of a target, as reported by its owner.
 
     Args:
-        residents: adapters confirmed in this incarnation.
+        residents: adapters confirmed as loaded in this incarnation.
         queued: requests waiting at the owner.
         running: requests running now.
-        batch_slots: how many can run at once.
-        pending: adapters that wait here for their load.
-        cheapest: how much the least used adapter here is used, 0 when a
-            slot is free; a load costs that much.
+        batch_slots: maximum number of concurrent requests.
+        pending: adapters waiting to be loaded.
+        cheapest: cost of a load, as the use of the least used adapter; 0
+            when a slot is free.
     """
 
     target: str
@@ -85,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetInfo:
-    """A target as the leader knows it."""
+    """A target, as distributed by the leader."""
 
     id: str
     pool: str
@@ -97,12 +101,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DigestDelta:
-    """What changed in the soft state since a version.
+    """Changes of the soft state since a version.
 
     Args:
-        term: versions of different terms can't be compared.
-        full: whether this replaces all that is known.
-        more: whether changes are left for the next.
+        term: versions of different terms are not comparable.
+        full: whether this replaces all earlier state.
+        more: whether further changes follow in the next delta.
     """
 
     term: int
@@ -117,11 +121,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Use:
-    """A request of this daemon that runs at a target now.
+    """A request of a daemon that is running at a target.
 
     Args:
-        request: names it among all requests of the daemon.
-        tokens: memory that it needs there.
+        request: id, unique within the daemon.
+        tokens: memory that it needs at the target, in tokens.
     """
 
     request: str
@@ -133,22 +137,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A daemon renews its session.
+    """Renews the session of a daemon.
 
     Args:
-        sequence: grows by one with each; an old one is refused.
-        applied: index up to which the daemon follows the catalogue, or
-            None when it follows by itself as a replica.
+        sequence: incremented with each heartbeat; an old one is refused.
+        applied: index up to which the daemon's view is current, or None
+            when it applies the log itself as a replica.
         held_by_key: the share of each limit that it holds.
-        wanted_by_key: the share that it could use.
-        relayed: passed on by a replica that does not lead.
-        uses: requests that run at targets now, from this daemon.
-        fetches: it can fetch what is too large for an answer.
+        wanted_by_key: the share of each limit for which it has demand.
+        relayed: forwarded by a replica that is not the leader.
+        uses: requests of this daemon that are running at targets.
+        fetches: it can fetch state that is too large for a reply.
         ends: requests that were lost with a target, or served after that.
-        leaving: targets that told it that they are leaving, as far as it
-            knows of nobody who knows.
-        runs_last_s: what it has admitted, and what it admits before the
-            answer to this, has ended after so many seconds.
+        leaving: targets that reported to it that they are leaving, and
+            that the digest doesn't show as leaving.
+        runs_last_s: upper bound in seconds for the duration of all requests
+            that it has admitted or admits before the reply.
     """
 
     daemon: DaemonInfo
@@ -169,16 +173,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """The leader renews a session.
+    """The leader's reply that renews a session.
 
     Args:
         commit: index that the daemon must have applied to use the lease.
         effects: catalogue changes after ``applied``, in order.
         behind: the daemon must fetch the changes, or the whole state.
-        hand_over: targets that the daemon should give back.
+        hand_over: targets whose ownership the daemon should release.
         replicas: addresses of all replicas.
         suspects: identities of requests that were lost with a target; a
-            whole answer to one clears it.
+            complete response to one clears it.
     """
 
     leader: str
@@ -195,10 +199,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateRequest:
-    """Ask a replica for its whole view, or for what changed.
+    """Requests a replica's whole view, or its changes.
 
     Args:
-        after: index up to which the view is known, None for all.
+        after: index of the requester's view, None for the whole view.
     """
 
     after: int | None = None
@@ -206,10 +210,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatePiece:
-    """A part of a view that stood at *index*.
+    """A part of a streamed view, or of its changes.
 
     Args:
-        whole: whether the parts make a view, or else the changes of one.
+        index: log index of the streamed state.
+        whole: whether the parts make up a whole view, not just changes.
     """
 
     index: int
@@ -219,7 +224,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CommandRequest:
-    """Ask the leader to commit a command."""
+    """Requests the leader to commit a command."""
 
     command: catalogue.Command
     relayed: bool = False
@@ -227,7 +232,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CommandReply:
-    """The result of a command: one of these, by the command's kind."""
+    """The result of a command; one field is set, by the command's kind."""
 
     put: catalogue.PutReply | None = None
     claim: catalogue.ClaimReply | None = None
@@ -237,7 +242,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FindClaim:
-    """Ask the leader what is recorded under a key."""
+    """Requests the claim recorded under an idempotency key."""
 
     member: str
     key: str
@@ -246,11 +251,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnRequest:
-    """An owner asks for its turn at a weight store.
+    """Requests a turn at a weight store, for the owner of a target.
 
     Args:
-        score_by_member: how urgent the best load of each member is.
-        wait_s: how long the leader may hold the answer back.
+        score_by_member: urgency of each member's most urgent load.
+        wait_s: how long the leader may delay the reply.
     """
 
     boot: str
@@ -263,7 +268,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnReply:
-    """A turn and whose load it is for; None when none came in time."""
+    """A turn and the member whose load it is for; None on a timeout."""
 
     turn: str | None = None
     member: str = ""
@@ -271,7 +276,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnEnd:
-    """The load is over, whichever way it went."""
+    """Ends a turn after its load has succeeded or failed."""
 
     store: str
     turn: str
@@ -280,10 +285,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AloneRequest:
-    """Ask to be the only one that runs a suspected request.
+    """Requests exclusive execution of a suspected request.
 
     Args:
-        wait_s: how long the leader may hold the answer back.
+        wait_s: how long the leader may delay the reply.
     """
 
     boot: str
@@ -294,7 +299,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AloneReply:
-    """Whether it may run now."""
+    """Whether the request may run now."""
 
     granted: bool
 
@@ -306,7 +311,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """Ask a replica for the state of the replicated log."""
+    """Requests the state of the replicated log and the sessions."""
 
     relayed: bool = False
 
