--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -38,7 +38,7 @@
 # the second without a piece after which a fetch is aborted.
 STATE_PART_BYTES = 32_768
 RELAY_TIMEOUT_S = 2.0
-ASSIGN_INTERVAL_S = 0.25
+LEADER_ROUND_INTERVAL_S = 0.25
 LEAD_POLL_S = 0.05
 MILLI = 1000
 # Longest that a heartbeat is held while there is no leader. Daemons wait 0.6 s
@@ -160,8 +160,8 @@
 
     async def __aenter__(self) -> "Coordinator":
         if self._use_keeper is not None:
-            self._use_keeper.on_new_start(self._take_new_start)
-        self._background.start(self._read_list, self._assign)
+            self._use_keeper.on_new_start(self._record_restart)
+        self._background.start(self._poll_instances, self._run_leader_rounds)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -192,9 +192,11 @@
     ) -> _messages.HeartbeatReply:
         """Renew a session."""
         arrived_at = self._clock.now()
-        if not await self._leads_soon(HOLD_S if _may_wait(request) else 0.0):
+        if not await self._await_leadership(
+            HOLD_S if _may_hold(request) else 0.0
+        ):
             return await self._relay(_messages.HEARTBEAT, request)
-        term = self._current()
+        term = self._current_term()
         daemon = request.daemon
         session = term.session_by_boot.setdefault(
             daemon.boot, _Session(daemon)
@@ -207,17 +209,17 @@
         session.seen_at = self._clock.now()
         session.daemon = daemon
         session.runs_last_s = request.runs_last_s
-        self._declare(term, request)
+        self._declare_shares(term, request)
         share_by_key = self._shares(term, request)
         if share_by_key:
             held_by_key = term.ledger.held(daemon.boot)
             await term.notes.cover(daemon, request.runs_last_s, held_by_key)
         await term.quarantine.take(daemon.boot, request.ends, arrived_at)
-        if not self._node.holds_lease() or self._current() is not term:
+        if not self._node.holds_lease() or self._current_term() is not term:
             raise self._node.not_leader()
         term.digest.put_daemon(daemon)
-        self._take_statuses(term, request)
-        self._take_leaving(term, request)
+        self._record_statuses(term, request)
+        self._record_leaving(term, request)
         if self._use_keeper is not None:
             self._use_keeper.take_uses(daemon.boot, request.uses)
         # The applied index covers every acknowledged change, since changes
@@ -230,7 +232,7 @@
             commit,
             effects,
             behind,
-            self._noted_shares(term, request, share_by_key),
+            self._cap_shares(term, request, share_by_key),
             term.digest.delta(request.digest_term, request.digest_version),
             self._hand_over(term, daemon.boot),
             tuple(member.address for member in self._node.config.members),
@@ -316,8 +318,8 @@
         if not self._node.holds_lease():
             timeout_s = request.wait_s + RELAY_TIMEOUT_S
             return await self._relay(_messages.ALONE, request, timeout_s)
-        held_back = self._current().quarantine
-        granted = await held_back.run_alone(
+        quarantine = self._current_term().quarantine
+        granted = await quarantine.run_alone(
             request.boot, request.identity, request.wait_s
         )
         return _messages.AloneReply(granted)
@@ -336,12 +338,12 @@
             self._node.commit,
             tuple(f"{m.id}={m.address}" for m in config.voters),
             tuple(f"{m.id}={m.address}" for m in config.learners),
-            tuple(self._current().digest.daemon_by_boot.values()),
+            tuple(self._current_term().digest.daemon_by_boot.values()),
             self._machine.claims,
             sum(len(by_id) for by_id in view.by_kind.values()),
         )
 
-    async def _leads_soon(self, hold_s: float) -> bool:
+    async def _await_leadership(self, hold_s: float) -> bool:
         """Whether this replica leads; waits while no leader is known.
 
         Holding a heartbeat during an election lets the daemon learn of the
@@ -373,23 +375,23 @@
 
     # Parts of a heartbeat.
 
-    def _current(self) -> _Term:
+    def _current_term(self) -> _Term:
         """Return the soft state of the present term; reset on a new term."""
         if self._term.term != self._node.term:
             self._term = self._new_term(self._node.term, self._clock.now())
-            self._take_over(self._term)
+            self._initialise_term(self._term)
         return self._term
 
     def _new_term(self, number: int, now: float) -> _Term:
-        held_back = _quarantine.Quarantine(
+        quarantine = _quarantine.Quarantine(
             number, lambda: self._machine.view, self._propose, self._clock
         )
         notes = _share_notes.ShareNotes(
             lambda: self._machine.sharer_by_boot, self._propose
         )
-        return _Term(number, now, held_back, notes)
+        return _Term(number, now, quarantine, notes)
 
-    def _take_over(self, term: _Term) -> None:
+    def _initialise_term(self, term: _Term) -> None:
         """Initialise a term from the digest of this replica's own daemon.
 
         An empty state would tell every daemon that there are no targets
@@ -412,7 +414,7 @@
             self._set_lapsed(term, sharer.boot, sharer.runs_last_s)
         self._publish_fleet(term)
 
-    def _settled(self, term: _Term) -> bool:
+    def _earlier_leases_expired(self, term: _Term) -> bool:
         """Whether all leases granted by earlier leaders have expired."""
         since_s = self._clock.now() - term.started_at
         return since_s > self._timing.surely_ended_s
@@ -425,16 +427,18 @@
         condition alone, callers were refused when leadership moved every
         2.5 s.
         """
-        return self._settled(term) or not term.undeclared
+        return self._earlier_leases_expired(term) or not term.undeclared
 
-    def _declare(self, term: _Term, request: _messages.Heartbeat) -> None:
+    def _declare_shares(
+        self, term: _Term, request: _messages.Heartbeat
+    ) -> None:
         """Record the shares that a daemon declares.
 
         Until its declaration covers the grants of earlier leaders, it counts
         as holding at least what the log notes for it.
         """
         boot = request.daemon.boot
-        self._end_former_starts(term, request.daemon)
+        self._free_former_boots(term, request.daemon)
         if request.digest_term == term.term:
             # The daemon has processed a reply of this term, so its
             # declaration includes every share from earlier leaders.
@@ -447,7 +451,7 @@
         term.lapsed_until_by_boot.pop(boot, None)
         term.ledger.declare(boot, held_by_key, request.wanted_by_key)
 
-    def _end_former_starts(
+    def _free_former_boots(
         self, term: _Term, daemon: _messages.DaemonInfo
     ) -> None:
         """Free the shares of earlier processes at the daemon's address.
@@ -476,7 +480,7 @@
         term.ledger.drop(boot)
         observe.log_event("shares", "freed", boot=boot, why=why)
 
-    def _noted_shares(
+    def _cap_shares(
         self,
         term: _Term,
         request: _messages.Heartbeat,
@@ -491,14 +495,14 @@
         allowed = {}
         for key, share in share_by_key.items():
             most = share
-            if key.startswith(_ledger.CONCURRENCY):
-                most = term.notes.most(boot, key)
-            elif not term.notes.knows(boot):
+            if key.startswith(_ledger.CONCURRENCY_PREFIX):
+                most = term.notes.max_share(boot, key)
+            elif not term.notes.has_bounds(boot):
                 most = request.held_by_key.get(key, 0)
             allowed[key] = min(share, most)
         return allowed
 
-    def _take_statuses(
+    def _record_statuses(
         self, term: _Term, request: _messages.Heartbeat
     ) -> None:
         owned = self._machine.view.ownership_by_target
@@ -511,18 +515,20 @@
             if info is not None:
                 self._put_target(term, info, info.leaving)
 
-    def _take_leaving(self, term: _Term, request: _messages.Heartbeat) -> None:
+    def _record_leaving(
+        self, term: _Term, request: _messages.Heartbeat
+    ) -> None:
         """Mark targets as leaving that told a daemon so, before the list."""
-        news = [
+        new = [
             target
             for target in request.leaving
             if term.fleet.said_leaving(target)
         ]
-        for target in news:
+        for target in new:
             observe.log_event(
                 "list", "said_leaving", target=target, by=request.daemon.boot
             )
-        if news:
+        if new:
             self._publish_fleet(term)
 
     def _put_target(
@@ -580,7 +586,7 @@
         return (target,) if target is not None else ()
 
     def _store(self, name: str) -> _turns.StoreQueue:
-        stores = self._current().store_by_name
+        stores = self._current_term().store_by_name
         if name not in stores:
             stores[name] = _turns.StoreQueue(self._clock)
         return stores[name]
@@ -591,7 +597,7 @@
 
     # Tasks while leading.
 
-    async def _read_list(self) -> None:
+    async def _poll_instances(self) -> None:
         """Read the instance list periodically, and at once in a new term."""
         read_at = float("-inf")
         read_in = -1
@@ -603,27 +609,27 @@
                 await observe.timed(
                     self._metrics,
                     "list",
-                    self._guarded,
-                    self._read_list_once,
+                    self._run_logged,
+                    self._read_instances,
                 )
             await self._clock.sleep(min(LEAD_POLL_S, self._list_interval_s))
 
-    async def _read_list_once(self) -> None:
-        term = self._current()
+    async def _read_instances(self) -> None:
+        term = self._current_term()
         try:
             instances = await self._instances.read()
             term.fleet.update(instances, self._clock.now())
         finally:
             self._publish_fleet(term)
 
-    def _take_new_start(self, target: str, born_ms: int) -> None:
+    def _record_restart(self, target: str, born_ms: int) -> None:
         """Record a restart that the target itself reported."""
-        term = self._current()
+        term = self._current_term()
         start = term.fleet.started(target, born_ms)
         observe.log_event("list", "new_start", target=target, now=start)
         self._publish_fleet(term)
 
-    async def _guarded(
+    async def _run_logged(
         self, work: collections.abc.Callable[[], collections.abc.Awaitable]
     ) -> None:
         """Run one round of a background task, and log its failure."""
@@ -645,19 +651,19 @@
             infos = tuple(term.digest.target_by_id.values())
             self._use_keeper.targets_changed(infos)
 
-    async def _assign(self) -> None:
+    async def _run_leader_rounds(self) -> None:
         while True:
-            await self._clock.sleep(ASSIGN_INTERVAL_S)
+            await self._clock.sleep(LEADER_ROUND_INTERVAL_S)
             if self._node.holds_lease():
-                await self._guarded(self._lead_once)
+                await self._run_logged(self._run_leader_round)
 
-    async def _lead_once(self) -> None:
-        term = self._current()
+    async def _run_leader_round(self) -> None:
+        term = self._current_term()
         self._end_sessions(term)
-        await self._tend_sharers(term)
+        await self._update_share_notes(term)
         await term.quarantine.tend()
         if self._use_keeper is None:
-            await self._assign_once(term)
+            await self._assign_targets(term)
         await self._raise_floor()
 
     async def _raise_floor(self) -> None:
@@ -670,13 +676,13 @@
             raised = catalogue.RaiseFloor(floor_ms)
             await self._propose(catalogue.Command(raise_floor=raised))
 
-    async def _tend_sharers(self, term: _Term) -> None:
+    async def _update_share_notes(self, term: _Term) -> None:
         """Free shares of silent daemons and update the notes in the log."""
         now = self._clock.now()
         for boot, until in list(term.lapsed_until_by_boot.items()):
             if now > until:
                 self._free_shares(term, boot, "its runs have ended")
-        if not self._settled(term):
+        if not self._earlier_leases_expired(term):
             return
         kept = term.session_by_boot.keys() | term.lapsed_until_by_boot.keys()
         gone = self._machine.sharer_by_boot.keys() - kept
@@ -696,14 +702,14 @@
             if now - session.seen_at > self._timing.listed_s:
                 term.digest.drop_daemon(boot)
             if now - session.seen_at > self._timing.surely_ended_s:
-                self._lapse(term, session)
+                self._lapse_shares(term, session)
                 del term.session_by_boot[boot]
                 term.digest.drop_daemon(boot)
                 if self._use_keeper is not None:
                     self._use_keeper.drop_uses(boot)
                 logging.info("control: Session of %s ended.", boot)
 
-    def _lapse(self, term: _Term, session: _Session) -> None:
+    def _lapse_shares(self, term: _Term, session: _Session) -> None:
         """Reserve what a daemon without a lease may still have in use."""
         boot = session.daemon.boot
         if boot in term.lapsed_until_by_boot:
@@ -721,9 +727,9 @@
         )
         for other in term.session_by_boot.values():
             if other is not session and other.seen_at > session.seen_at:
-                self._end_former_starts(term, other.daemon)
+                self._free_former_boots(term, other.daemon)
 
-    async def _assign_once(self, term: _Term) -> None:
+    async def _assign_targets(self, term: _Term) -> None:
         """Grant each unowned engine to a daemon, then rebalance by one."""
         view = self._machine.view
         owned_by_boot: dict[str, list[str]] = collections.defaultdict(list)
@@ -754,7 +760,7 @@
             logging.info(
                 "control: Target %s granted to %s.", info.id, chosen.boot
             )
-        self._even_out(term, candidates, owned_by_boot)
+        self._rebalance(term, candidates, owned_by_boot)
 
     def _is_engine(self, pool: str) -> bool:
         entry = self._machine.view.pool_by_id.get(pool)
@@ -771,11 +777,11 @@
         if ownership is None or ownership.owner is None:
             return None
         alive = ownership.owner in term.session_by_boot
-        if alive or not self._settled(term):
+        if alive or not self._earlier_leases_expired(term):
             return ownership.owner
         return None
 
-    def _even_out(
+    def _rebalance(
         self,
         term: _Term,
         candidates: list[_messages.DaemonInfo],
@@ -783,7 +789,7 @@
     ) -> None:
         """Select one target to hand over from the daemon that has most."""
         term.hand_over_by_boot.clear()
-        if not candidates or not self._settled(term):
+        if not candidates or not self._earlier_leases_expired(term):
             return
         boots = [daemon.boot for daemon in candidates]
         most = max(boots, key=lambda boot: len(owned_by_boot[boot]))
@@ -834,7 +840,7 @@
     return targets.Instance(info.id, info.pool, info.address, info.datacentre)
 
 
-def _may_wait(request: _messages.Heartbeat) -> bool:
+def _may_hold(request: _messages.Heartbeat) -> bool:
     """Whether a heartbeat may be held during an election.
 
     One that declares shares may not: when those were held too, limits of 40
--- a/libs/control/src/bergamotsail/control/_digest.py
+++ b/libs/control/src/bergamotsail/control/_digest.py
@@ -45,11 +45,11 @@
 
     def since(self, version: int) -> list[tuple[int, str]]:
         """Return changes after *version*, as version and id, ascending."""
-        return _later(self._version_by_id, version)
+        return _changes_after(self._version_by_id, version)
 
     def gone_since(self, version: int) -> list[tuple[int, str]]:
         """Return removals after *version*, as version and id, ascending."""
-        return _later(self._gone_by_id, version)
+        return _changes_after(self._gone_by_id, version)
 
     def items(
         self, changes: collections.abc.Iterable[tuple[int, str]], until: int
@@ -58,7 +58,7 @@
         return tuple(self.by_id[one] for at, one in changes if at <= until)
 
 
-def _later(
+def _changes_after(
     version_by_id: dict[str, int], version: int
 ) -> list[tuple[int, str]]:
     latest = itertools.takewhile(
@@ -157,8 +157,8 @@
         self.daemon_by_boot: dict[str, _messages.DaemonInfo] = {}
         self.target_by_id: dict[str, _messages.TargetInfo] = {}
         # Targets that only former leaders have reported.
-        self._former: set[str] = set()
-        self._told_targets = False
+        self._former_targets: set[str] = set()
+        self._received_targets = False
 
     def apply(self, delta: _messages.DigestDelta) -> None:
         """Apply a delta; deltas of one term arrive in order.
@@ -169,25 +169,25 @@
         """
         if delta.full:
             self.daemon_by_boot.clear()
-            self._former = set(self.target_by_id)
-            self._told_targets = False
+            self._former_targets = set(self.target_by_id)
+            self._received_targets = False
         self.term = delta.term
         self.version = delta.version
         for daemon in delta.daemons:
             self.daemon_by_boot[daemon.boot] = daemon
         for target in delta.targets:
             self.target_by_id[target.id] = target
-            self._former.discard(target.id)
-            self._told_targets = True
-        if self._told_targets and not delta.more:
-            for target_id in self._former:
+            self._former_targets.discard(target.id)
+            self._received_targets = True
+        if self._received_targets and not delta.more:
+            for target_id in self._former_targets:
                 del self.target_by_id[target_id]
-            self._former.clear()
+            self._former_targets.clear()
         for boot in delta.gone_daemons:
             self.daemon_by_boot.pop(boot, None)
         for target_id in delta.gone_targets:
             self.target_by_id.pop(target_id, None)
-            self._former.discard(target_id)
+            self._former_targets.discard(target_id)
 
     def set_leaving(self, target: str) -> None:
         """Mark a target as leaving, as it reported itself."""
--- a/libs/control/src/bergamotsail/control/_fleet.py
+++ b/libs/control/src/bergamotsail/control/_fleet.py
@@ -7,11 +7,11 @@
 
 from bergamotsail import targets
 
-FORGET_S = 60.0
+REMOVE_AFTER_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Known:
+class _TrackedTarget:
     """The current incarnation of a target.
 
     Args:
@@ -44,13 +44,13 @@
     """
 
     def __init__(self) -> None:
-        self._known_by_name: dict[str, _Known] = {}
+        self._tracked_by_name: dict[str, _TrackedTarget] = {}
 
     def remember(self, instance: targets.Instance, leaving: bool) -> None:
         """Add a target, or replace what is known of it."""
         start = targets.Incarnation.of(instance.id)
-        known = _Known(instance, leaving, start.born_ms)
-        self._known_by_name[start.name] = known
+        known = _TrackedTarget(instance, leaving, start.born_ms)
+        self._tracked_by_name[start.name] = known
 
     def started(self, target: str, born_ms: int) -> str:
         """Record a restart that a target reported itself.
@@ -63,11 +63,11 @@
             The current incarnation.
         """
         name = targets.Incarnation.of(target).name
-        known = self._known_by_name.get(name)
+        known = self._tracked_by_name.get(name)
         if known is None:
             return target
         if known.instance.id == target:
-            known.instance = _started(known.instance, name, born_ms)
+            known.instance = _with_start_time(known.instance, name, born_ms)
             known.born_ms = born_ms
             known.said_leaving = False
         return known.instance.id
@@ -82,12 +82,12 @@
             Whether that is new.
         """
         name = targets.Incarnation.of(target).name
-        known = self._known_by_name.get(name)
+        known = self._tracked_by_name.get(name)
         if known is None or known.instance.id != target:
             return False
-        news = not known.said_leaving
+        is_new = not known.said_leaving
         known.said_leaving = True
-        return news
+        return is_new
 
     def update(
         self, instances: collections.abc.Sequence[targets.Instance], now: float
@@ -100,46 +100,50 @@
             start = targets.Incarnation.of(instance.id)
             listed.add(start.name)
             self._take(start, instance)
-        for name, known in list(self._known_by_name.items()):
+        for name, known in list(self._tracked_by_name.items()):
             if name in listed:
                 continue
             known.leaving = True
             if known.missing_since is None:
                 known.missing_since = now
-            if now - known.missing_since > FORGET_S:
-                del self._known_by_name[name]
+            if now - known.missing_since > REMOVE_AFTER_S:
+                del self._tracked_by_name[name]
 
     def _take(
         self, start: targets.Incarnation, instance: targets.Instance
     ) -> None:
         """Apply one entry of the instance list."""
         leaving = instance.state is targets.InstanceState.LEAVING
-        known = self._known_by_name.get(start.name)
+        known = self._tracked_by_name.get(start.name)
         if known is None:
             self.remember(instance, leaving)
             return
         known.missing_since = None
-        told, before = start.born_ms, known.born_ms
-        if told is not None and before is not None and told < before:
+        listed_ms, known_ms = start.born_ms, known.born_ms
+        if (
+            listed_ms is not None
+            and known_ms is not None
+            and listed_ms < known_ms
+        ):
             return
-        if told is None or before is None or told == before:
+        if listed_ms is None or known_ms is None or listed_ms == known_ms:
             instance = dataclasses.replace(instance, id=known.instance.id)
-        born_ms = before if told is None else told
+        born_ms = known_ms if listed_ms is None else listed_ms
         same = instance.id == known.instance.id
-        said = known.said_leaving and same
-        self._known_by_name[start.name] = _Known(
-            instance, leaving, born_ms, said_leaving=said
+        was_leaving = known.said_leaving and same
+        self._tracked_by_name[start.name] = _TrackedTarget(
+            instance, leaving, born_ms, said_leaving=was_leaving
         )
 
     def all(self) -> list[tuple[targets.Instance, bool]]:
         """Return each target and whether it is leaving."""
         return [
             (known.instance, known.leaving or known.said_leaving)
-            for known in self._known_by_name.values()
+            for known in self._tracked_by_name.values()
         ]
 
 
-def _started(
+def _with_start_time(
     instance: targets.Instance, name: str, born_ms: int
 ) -> targets.Instance:
     start = targets.Incarnation(name, born_ms)
--- a/libs/control/src/bergamotsail/control/_heard.py
+++ b/libs/control/src/bergamotsail/control/_heard.py
@@ -11,10 +11,10 @@
 from bergamotsail.control import _messages
 
 # Entries per table: leaving incarnations, and pauses. The oldest are evicted.
-MOST_HEARD = 4096
+MAX_ENTRIES = 4096
 # Longer pauses are capped, since a mistyped header can't be distinguished from
 # a target that really is unavailable for hours.
-LONGEST_PAUSE_S = 600.0
+MAX_PAUSE_S = 600.0
 
 
 class Heard:
@@ -33,10 +33,10 @@
 
     def leaves(self, target: str) -> bool:
         """Record that a target is leaving; return whether that is new."""
-        news = target not in self._leaving
+        is_new = target not in self._leaving
         self._leaving[target] = None
-        _bound(self._leaving)
-        return news
+        _evict_oldest(self._leaving)
+        return is_new
 
     def pauses(self, target: str, pause_s: float, now: float) -> float:
         """Record that a target asked for no new work for a while.
@@ -44,11 +44,11 @@
         Returns:
             The end of the pause, the latest of several.
         """
-        until = now + min(max(pause_s, 0.0), LONGEST_PAUSE_S)
+        until = now + min(max(pause_s, 0.0), MAX_PAUSE_S)
         until = max(until, self._paused_until.get(target, until))
         self._paused_until[target] = until
         self._paused_until.move_to_end(target)
-        _bound(self._paused_until)
+        _evict_oldest(self._paused_until)
         return until
 
     def is_leaving(self, target: str) -> bool:
@@ -93,6 +93,6 @@
         )
 
 
-def _bound(table: collections.OrderedDict) -> None:
-    while len(table) > MOST_HEARD:
+def _evict_oldest(table: collections.OrderedDict) -> None:
+    while len(table) > MAX_ENTRIES:
         table.popitem(last=False)
--- a/libs/control/src/bergamotsail/control/_ledger.py
+++ b/libs/control/src/bergamotsail/control/_ledger.py
@@ -15,7 +15,7 @@
 import collections.abc
 
 FLOOR_SHARE = 1
-CONCURRENCY = "concurrency/"
+CONCURRENCY_PREFIX = "concurrency/"
 
 
 class Ledger:
@@ -62,7 +62,7 @@
         return {
             key: by_boot[boot]
             for key, by_boot in self.held_by_key.items()
-            if boot in by_boot and key.startswith(CONCURRENCY)
+            if boot in by_boot and key.startswith(CONCURRENCY_PREFIX)
         }
 
     def lapse(
@@ -71,7 +71,7 @@
         """Reserve what a silent daemon may still have in use."""
         self.drop(boot)
         for key, held in held_by_key.items():
-            if held > 0 and key.startswith(CONCURRENCY):
+            if held > 0 and key.startswith(CONCURRENCY_PREFIX):
                 self._lapsed_by_key[key][boot] = held
 
     def lapsed(self, key: str) -> int:
@@ -86,14 +86,14 @@
                 shares granted by an earlier one.
         """
         held = self.held_by_key[key]
-        mine = held.get(boot, 0)
+        current = held.get(boot, 0)
         if may_raise:
             limit = max(0, limit - self.lapsed(key))
-        fair = fair_shares(self._wanted_by_key[key], limit).get(boot, 0)
-        if fair <= mine or not may_raise:
-            return min(fair, mine)
+        fair_share = fair_shares(self._wanted_by_key[key], limit).get(boot, 0)
+        if fair_share <= current or not may_raise:
+            return min(fair_share, current)
         free = max(0, limit - sum(held.values()))
-        share = min(fair, mine + free)
+        share = min(fair_share, current + free)
         if share > 0:
             held[boot] = share
         return share
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -19,20 +19,20 @@
 
 # Initial quarantine; doubled for each further target that the request crashes.
 HOLD_S = 900.0
-MOST_HOLD_S = 86_400.0
+MAX_HOLD_S = 86_400.0
 # Quarantine entries per member; the oldest is evicted first.
-MOST_HELD_BY_MEMBER = 100
-NOTE_TIMEOUT_S = 0.2
+MAX_ENTRIES_PER_MEMBER = 100
+COMMIT_TIMEOUT_S = 0.2
 OPERATOR = "leader"
 # Longest that one copy of a suspected request may block the others.
-MOST_ALONE_S = 10.0
+MAX_EXCLUSIVE_S = 10.0
 
 Propose = collections.abc.Callable[
     [catalogue.Command], collections.abc.Awaitable[object]
 ]
 
 
-class _Alone:
+class _ExclusiveRun:
     """Exclusive execution of a suspected request by one daemon."""
 
     def __init__(self, boot: str, since: float) -> None:
@@ -61,11 +61,11 @@
         self._propose = propose
         self._clock = clock
         self._counter = quarantine.EndCounter()
-        self._due: dict[str, catalogue.Quarantine | None] = {}
+        self._pending_changes: dict[str, catalogue.Quarantine | None] = {}
         # When this leader first saw an entry, by identity and revision.
         self._seen_at: dict[tuple[str, int], float] = {}
-        self._settling = asyncio.Lock()
-        self._alone_by_identity: dict[str, _Alone] = {}
+        self._commit_lock = asyncio.Lock()
+        self._exclusive_by_identity: dict[str, _ExclusiveRun] = {}
 
     def suspects(self) -> tuple[str, ...]:
         """Return requests whose complete response is to be reported."""
@@ -79,13 +79,17 @@
         """
         try:
             async with asyncio.timeout(wait_s):
-                while (other := self._other_copy(boot, identity)) is not None:
-                    await other.over.wait()
+                while (
+                    blocker := self._acquire_or_blocker(boot, identity)
+                ) is not None:
+                    await blocker.over.wait()
         except TimeoutError:
             return False
         return not self._is_held(identity)
 
-    def _other_copy(self, boot: str, identity: str) -> _Alone | None:
+    def _acquire_or_blocker(
+        self, boot: str, identity: str
+    ) -> _ExclusiveRun | None:
         """Return the running copy to wait for.
 
         Returns:
@@ -94,42 +98,42 @@
         if self._counter.ends(identity) == 0 or self._is_held(identity):
             return None
         now = self._clock.now()
-        other = self._alone_by_identity.get(identity)
-        if other is not None and now - other.since <= MOST_ALONE_S:
-            return other
-        self._alone_by_identity[identity] = _Alone(boot, now)
+        blocker = self._exclusive_by_identity.get(identity)
+        if blocker is not None and now - blocker.since <= MAX_EXCLUSIVE_S:
+            return blocker
+        self._exclusive_by_identity[identity] = _ExclusiveRun(boot, now)
         return None
 
     def _is_held(self, identity: str) -> bool:
         entry = self._view().quarantine_by_id.get(identity)
         return entry is not None and entry.value.held
 
-    def _end_alone(self, boot: str, identity: str) -> None:
+    def _end_exclusive(self, boot: str, identity: str) -> None:
         """End the exclusive execution of a request by this daemon.
 
         It ends for every daemon once the request has been served.
         """
-        alone = self._alone_by_identity.get(identity)
-        if alone is None:
+        exclusive = self._exclusive_by_identity.get(identity)
+        if exclusive is None:
             return
-        if alone.boot == boot or self._counter.ends(identity) == 0:
-            del self._alone_by_identity[identity]
-            alone.over.set()
+        if exclusive.boot == boot or self._counter.ends(identity) == 0:
+            del self._exclusive_by_identity[identity]
+            exclusive.over.set()
 
     async def take(
         self,
         boot: str,
         observations: collections.abc.Sequence[quarantine.Observation],
-        told_at: float,
+        reported_at: float,
     ) -> None:
         """Process a daemon's observations and commit the decisions."""
         for observation in observations:
-            suspect = self._counter.take(observation, told_at)
-            ended_at = told_at - observation.ended_ago_s
+            suspect = self._counter.take(observation, reported_at)
+            ended_at = reported_at - observation.ended_ago_s
             self._decide(observation, suspect, ended_at)
-        await self._settle()
+        await self._commit_pending()
         for observation in observations:
-            self._end_alone(boot, observation.identity)
+            self._end_exclusive(boot, observation.identity)
 
     def _decide(
         self,
@@ -153,22 +157,22 @@
             ended_ago_s=round(observation.ended_ago_s, 3),
         )
         if served:
-            self._due.pop(identity, None)
+            self._pending_changes.pop(identity, None)
         # Observations that led to the present entry are reported again to a
         # new leader; they must not count twice.
         if entry is not None and ended_at <= self._known_since(entry):
             return
         if served:
             if entry is not None:
-                self._due[identity] = None
+                self._pending_changes[identity] = None
             return
         if self._is_held(identity):
             return
-        earlier = 0 if entry is None else entry.value.ends
-        most = quarantine.MOST_ENDS if entry is None else 1
-        if suspect.ends >= most:
-            self._due[identity] = catalogue.Quarantine(
-                suspect.member, suspect.pool, earlier + suspect.ends
+        earlier_ends = 0 if entry is None else entry.value.ends
+        threshold = quarantine.MOST_ENDS if entry is None else 1
+        if suspect.ends >= threshold:
+            self._pending_changes[identity] = catalogue.Quarantine(
+                suspect.member, suspect.pool, earlier_ends + suspect.ends
             )
 
     def _known_since(self, entry: catalogue.Entry) -> float:
@@ -187,7 +191,7 @@
             seen_at[key] = since = self._seen_at.get(key, now)
             if entry.value.held and now - since >= hold_s(entry.value.ends):
                 self._counter.forget(identity)
-                self._due.setdefault(
+                self._pending_changes.setdefault(
                     identity,
                     catalogue.Quarantine(
                         entry.value.member,
@@ -197,24 +201,24 @@
                     ),
                 )
         self._seen_at = seen_at
-        for identity, alone in list(self._alone_by_identity.items()):
-            if now - alone.since > MOST_ALONE_S:
-                self._end_alone(alone.boot, identity)
-        for identity in _beyond(entries):
-            self._due.setdefault(identity, None)
-        await self._settle()
-
-    async def _settle(self) -> None:
+        for identity, exclusive in list(self._exclusive_by_identity.items()):
+            if now - exclusive.since > MAX_EXCLUSIVE_S:
+                self._end_exclusive(exclusive.boot, identity)
+        for identity in _excess_entries(entries):
+            self._pending_changes.setdefault(identity, None)
+        await self._commit_pending()
+
+    async def _commit_pending(self) -> None:
         """Commit pending changes; the rest is retried after a failure."""
-        if self._settling.locked():
+        if self._commit_lock.locked():
             return
-        async with self._settling:
-            while self._due:
-                identity, value = next(iter(self._due.items()))
+        async with self._commit_lock:
+            while self._pending_changes:
+                identity, value = next(iter(self._pending_changes.items()))
                 if not await self._put(identity, value):
                     return
-                if self._due.get(identity) is value:
-                    del self._due[identity]
+                if self._pending_changes.get(identity) is value:
+                    del self._pending_changes[identity]
 
     async def _put(
         self, identity: str, value: catalogue.Quarantine | None
@@ -228,7 +232,7 @@
             OPERATOR,
         )
         try:
-            async with asyncio.timeout(NOTE_TIMEOUT_S):
+            async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 await self._propose(catalogue.Command(put=put))
         except (wire.ServingError, TimeoutError) as error:
             logging.info(
@@ -239,7 +243,7 @@
             self._counter.forget(identity)
         observe.log_event(
             "quarantine",
-            _what(value),
+            _event_name(value),
             identity=identity,
             ends=None if value is None else value.ends,
         )
@@ -252,16 +256,16 @@
     Example: 900 s after 3 ends, 1,800 s after 4, a day at most.
     """
     further = max(ends - quarantine.MOST_ENDS, 0)
-    return min(HOLD_S * 2.0**further, MOST_HOLD_S)
+    return min(HOLD_S * 2.0**further, MAX_HOLD_S)
 
 
-def _what(value: catalogue.Quarantine | None) -> str:
+def _event_name(value: catalogue.Quarantine | None) -> str:
     if value is None:
         return "released"
     return "held" if value.held else "may_run"
 
 
-def _beyond(
+def _excess_entries(
     entries: collections.abc.Mapping[str, catalogue.Entry],
 ) -> collections.abc.Iterator[str]:
     """Yield identities of the oldest entries above each member's limit."""
@@ -270,5 +274,5 @@
         by_member[entry.value.member].append(entry)
     for own in by_member.values():
         own.sort(key=lambda entry: entry.revision)
-        for entry in own[: max(len(own) - MOST_HELD_BY_MEMBER, 0)]:
+        for entry in own[: max(len(own) - MAX_ENTRIES_PER_MEMBER, 0)]:
             yield entry.id
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -23,21 +23,21 @@
 # A fetch of the state is aborted after this long without a piece.
 STATE_SILENCE_S = 1.0
 KICK_SPACING_S = 0.02
-MOST_REPLICAS = 9
+MAX_SEEDS = 9
 NEIGHBOUR_AFTER_S = 0.8
-MOST_NEIGHBOURS = 2
-DIRECT_EVERY_S = 2.0
-STALE_PACE = 3
+MAX_NEIGHBOUR_ATTEMPTS = 2
+DIRECT_RETRY_INTERVAL_S = 2.0
+SEARCH_SPEEDUP = 3
 # Upper bound for heartbeats per second of all daemons together, to limit the
 # load on the leader, where a placement call takes 0.4 ms. With 80 daemons each
 # sends one every 0.53 s.
-MOST_BEATS_PER_S = 150.0
+MAX_HEARTBEATS_PER_S = 150.0
 # Heartbeats per lease, however many daemons there are: a lease survives the
 # loss of two.
-BEATS_BY_LEASE = 3
+HEARTBEATS_PER_LEASE = 3
 # The bound while daemons search for a leader; most of these heartbeats are
 # refused cheaply.
-MOST_SEARCHES_PER_S = 300.0
+MAX_SEARCHES_PER_S = 300.0
 CATCH_UP_POLL_S = 0.01
 # Renewals that wait for a fetch. Later ones are dropped, since the fetched
 # state covers the earliest commit indexes first.
@@ -109,7 +109,7 @@
         return None
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     return None
 
 
@@ -151,20 +151,20 @@
         """Address of the relaying daemon, None without a relay."""
         return self._neighbour
 
-    def go_through(self, neighbour: str | None) -> None:
+    def set_neighbour(self, neighbour: str | None) -> None:
         """Relay calls through another daemon, or None to call directly."""
         if neighbour != self._neighbour:
             logging.info("session: Leader is called via %s.", neighbour)
             self._neighbour = neighbour
-            self._has_moved()
+            self._notify_moved()
 
     def found(self, address: str) -> None:
         """Set the address of the leader."""
         if address != self._leader:
             self._leader = address
-            self._has_moved()
+            self._notify_moved()
 
-    def _has_moved(self) -> None:
+    def _notify_moved(self) -> None:
         """Wake the tasks that wait for a change of address."""
         self._moved.set()
         self._moved = asyncio.Event()
@@ -172,14 +172,14 @@
     def learn(self, addresses: collections.abc.Sequence[str]) -> None:
         """Add replicas to the seeds, since the first seeds may disappear."""
         known = [a for a in self._seeds if a not in addresses]
-        self._seeds = [*addresses, *known][:MOST_REPLICAS]
+        self._seeds = [*addresses, *known][:MAX_SEEDS]
 
     async def call(
         self,
         call: wire.Call,
         request: object,
         timeout_s: float,
-        before_try: collections.abc.Callable[[], None] = _nothing,
+        before_try: collections.abc.Callable[[], None] = _no_op,
     ) -> object:
         """Call the leader; each replica is tried once.
 
@@ -269,18 +269,18 @@
         self._lease_until = float("-inf")
         self._sent_at = float("-inf")
         self._fetching: asyncio.Task | None = None
-        self._fetches_from = ""
+        self._fetch_address = ""
         # Renewals waiting for a fetch: the commit index that the view must
         # reach, and when the heartbeat was sent.
-        self._waiting: list[tuple[int, float]] = []
+        self._pending_renewals: list[tuple[int, float]] = []
         self._sequence = 0
         self._kicked = asyncio.Event()
         self._background = wire.Background()
         self._was_fresh = False
-        self._direct_at = float("-inf")
+        self._direct_tried_at = float("-inf")
         self._neighbours_tried = 0
-        self._former_by_boot: dict[str, _messages.DaemonInfo] = {}
-        self._former_until = float("-inf")
+        self._previous_by_boot: dict[str, _messages.DaemonInfo] = {}
+        self._previous_until = float("-inf")
 
     @property
     def daemon_by_boot(self) -> dict[str, _messages.DaemonInfo]:
@@ -289,9 +289,9 @@
         A new leader learns of them one by one, so those known to its
         predecessor are included for the duration of a lease.
         """
-        if self._clock.now() > self._former_until:
+        if self._clock.now() > self._previous_until:
             return self.digest.daemon_by_boot
-        return self._former_by_boot | self.digest.daemon_by_boot
+        return self._previous_by_boot | self.digest.daemon_by_boot
 
     @property
     def view(self) -> catalogue.View:
@@ -412,10 +412,10 @@
         daemons = len(self.digest.daemon_by_boot)
         usual_s = self._timing.heartbeat_s
         if self.fresh():
-            spaced_s = daemons / MOST_BEATS_PER_S
-            most_s = self._timing.usable_s / BEATS_BY_LEASE
+            spaced_s = daemons / MAX_HEARTBEATS_PER_S
+            most_s = self._timing.usable_s / HEARTBEATS_PER_LEASE
             return max(usual_s, min(spaced_s, most_s))
-        return max(usual_s / STALE_PACE, daemons / MOST_SEARCHES_PER_S)
+        return max(usual_s / SEARCH_SPEEDUP, daemons / MAX_SEARCHES_PER_S)
 
     def _log_freshness(self) -> None:
         fresh = self.fresh()
@@ -453,8 +453,8 @@
         if await self._catch_up(reply):
             self._log_renewal(sent_at, answered_at)
             self._renew(sent_at)
-        elif len(self._waiting) < MOST_WAITING:
-            self._waiting.append((reply.commit, sent_at))
+        elif len(self._pending_renewals) < MOST_WAITING:
+            self._pending_renewals.append((reply.commit, sent_at))
         self.take_digest(reply.digest)
         if reply.digest.more:
             self.kick()
@@ -469,14 +469,14 @@
         if self.fresh():
             return
         now = self._clock.now()
-        without_s = now - self._lease_until
+        gap_s = now - self._lease_until
         logging.info(
             "session: Lease granted. left_s=%.3f answer_s=%.3f "
             "catch_up_s=%.3f without=%s",
             sent_at + self._timing.usable_s - now,
             answered_at - sent_at,
             now - answered_at,
-            "ever" if math.isinf(without_s) else f"{without_s:.3f} s",
+            "ever" if math.isinf(gap_s) else f"{gap_s:.3f} s",
         )
 
     def _renew(self, sent_at: float) -> None:
@@ -492,8 +492,8 @@
         daemons, and callers were told only those addresses.
         """
         if delta.full:
-            self._former_by_boot = dict(self.daemon_by_boot)
-            self._former_until = self._clock.now() + self._timing.lease_s
+            self._previous_by_boot = dict(self.daemon_by_boot)
+            self._previous_until = self._clock.now() + self._timing.lease_s
         self.digest.apply(delta)
 
     async def _send(
@@ -506,7 +506,7 @@
         """
         neighbour = self.leader.neighbour
         if neighbour is not None:
-            reply = await self._send_as_before(request, neighbour)
+            reply = await self._send_via_neighbour(request, neighbour)
             if reply is not None:
                 return reply
         try:
@@ -516,12 +516,12 @@
                 self._timing.call_s,
                 self._sending,
             )
-            self.leader.go_through(None)
+            self.leader.set_neighbour(None)
             return reply
         except wire.ServingError:
             if self.silent_s() < NEIGHBOUR_AFTER_S:
                 raise
-            reply = await self._send_through_any(request)
+            reply = await self._send_via_any_neighbour(request)
             if reply is None:
                 raise
             return reply
@@ -535,14 +535,14 @@
         """
         self._sent_at = self._clock.now()
 
-    async def _send_as_before(
+    async def _send_via_neighbour(
         self, request: _messages.Heartbeat, neighbour: str
     ) -> _messages.HeartbeatReply | None:
         """Send through the same neighbour; periodically try directly."""
         request = dataclasses.replace(request, fetches=False)
         calls = [(neighbour, self._timing.call_s)]
-        if self._clock.now() - self._direct_at > DIRECT_EVERY_S:
-            self._direct_at = self._clock.now()
+        if self._clock.now() - self._direct_tried_at > DIRECT_RETRY_INTERVAL_S:
+            self._direct_tried_at = self._clock.now()
             # Half the usual timeout, since the lease is running out.
             direct = (self.leader.direct_address, self._timing.call_s / 2)
             calls.insert(0, direct)
@@ -553,11 +553,11 @@
                     address, _messages.HEARTBEAT, request, timeout_s
                 )
                 if address != neighbour:
-                    self.leader.go_through(None)
+                    self.leader.set_neighbour(None)
                 return reply
         return None
 
-    async def _send_through_any(
+    async def _send_via_any_neighbour(
         self, request: _messages.Heartbeat
     ) -> _messages.HeartbeatReply | None:
         """Try some neighbours, other ones each time."""
@@ -568,8 +568,8 @@
             if info.peer_address and info.boot != self.boot
         ]
         self._neighbours_tried += 1
-        start = self._neighbours_tried * MOST_NEIGHBOURS
-        for number in range(min(MOST_NEIGHBOURS, len(neighbours))):
+        start = self._neighbours_tried * MAX_NEIGHBOUR_ATTEMPTS
+        for number in range(min(MAX_NEIGHBOUR_ATTEMPTS, len(neighbours))):
             address = neighbours[(start + number) % len(neighbours)]
             self._sending()
             with contextlib.suppress(wire.ServingError):
@@ -579,9 +579,9 @@
                     request,
                     self._timing.call_s / 2,
                 )
-                self.leader.go_through(address)
+                self.leader.set_neighbour(address)
                 return reply
-        self.leader.go_through(None)
+        self.leader.set_neighbour(None)
         return None
 
     async def _catch_up(self, reply: _messages.HeartbeatReply) -> bool:
@@ -611,11 +611,11 @@
     def _start_fetch(self, address: str) -> None:
         """Start a fetch from this leader, unless one is running."""
         if self._fetching is not None and not self._fetching.done():
-            if self._fetches_from == address:
+            if self._fetch_address == address:
                 return
             self._fetching.cancel()
-        self._waiting.clear()
-        self._fetches_from = address
+        self._pending_renewals.clear()
+        self._fetch_address = address
         self._fetching = asyncio.create_task(self._fetch(address))
 
     async def _fetch(self, address: str) -> None:
@@ -628,7 +628,7 @@
         except Exception:
             logging.exception("session: Unexpected fetch error.")
             return
-        waiting, self._waiting = self._waiting, []
+        waiting, self._pending_renewals = self._pending_renewals, []
         for commit, sent_at in waiting:
             if commit <= self._own_view.index:
                 self._renew(sent_at)
@@ -645,13 +645,13 @@
             _messages.StateRequest(after),
             STATE_TIMEOUT_S,
         )
-        joiner = catalogue.Joiner()
-        watched = wire.watched(pieces, _silent, STATE_SILENCE_S)
+        assembler = catalogue.Joiner()
+        watched = wire.watched(pieces, _fetch_stalled, STATE_SILENCE_S)
         async with contextlib.aclosing(watched):
             async for piece in watched:
                 index, whole = piece.index, piece.whole
-                came = [joiner.join(effect) for effect in piece.effects]
-                ready = [effect for effect in came if effect is not None]
+                joined = [assembler.join(effect) for effect in piece.effects]
+                ready = [effect for effect in joined if effect is not None]
                 if not whole:
                     changes.extend(ready)
                     continue
@@ -670,7 +670,7 @@
         logging.info("session: State fetched at index %d.", index)
 
 
-def _silent() -> wire.ServingError:
+def _fetch_stalled() -> wire.ServingError:
     return wire.PeerLostError(
         "Timed out waiting for a piece of the state. Fetch it again."
     )
--- a/libs/control/src/bergamotsail/control/_share_notes.py
+++ b/libs/control/src/bergamotsail/control/_share_notes.py
@@ -18,9 +18,9 @@
 
 # Longest that a heartbeat waits for its shares to be committed; after that
 # a later heartbeat gets them.
-NOTE_TIMEOUT_S = 0.2
+COMMIT_TIMEOUT_S = 0.2
 # A bound is lowered once the daemon holds a quarter of it or less.
-LOWER_AT = 4
+LOWER_FACTOR = 4
 
 Propose = collections.abc.Callable[
     [catalogue.Command], collections.abc.Awaitable[object]
@@ -37,10 +37,10 @@
 
     def __init__(
         self,
-        noted: collections.abc.Callable[[], dict[str, catalogue.Sharer]],
+        committed: collections.abc.Callable[[], dict[str, catalogue.Sharer]],
         propose: Propose,
     ) -> None:
-        self._noted = noted
+        self._committed = committed
         self._propose = propose
         # Entries proposed but not known to be committed; any may take effect.
         self._pending_by_boot: dict[str, list[catalogue.Sharer]] = (
@@ -48,15 +48,15 @@
         )
         self._gone: set[str] = set()
 
-    def knows(self, boot: str) -> bool:
+    def has_bounds(self, boot: str) -> bool:
         """Whether the log has bounds for a daemon, so it may hold shares."""
-        return boot in self._noted() and boot not in self._gone
+        return boot in self._committed() and boot not in self._gone
 
-    def most(self, boot: str, key: str) -> int:
+    def max_share(self, boot: str, key: str) -> int:
         """Return how much a daemon may hold, whichever entry takes effect."""
-        if not self.knows(boot):
+        if not self.has_bounds(boot):
             return 0
-        entries = [self._noted()[boot], *self._pending_by_boot[boot]]
+        entries = [self._committed()[boot], *self._pending_by_boot[boot]]
         return min(entry.most_by_key.get(key, 0) for entry in entries)
 
     async def cover(
@@ -71,15 +71,16 @@
             runs_last_s: bound for the time the daemon's runs take.
         """
         boot = daemon.boot
-        known = self._noted().get(boot)
+        known = self._committed().get(boot)
         lasts = known is not None and known.runs_last_s >= runs_last_s
         enough = all(
-            self.most(boot, key) >= held for key, held in held_by_key.items()
+            self.max_share(boot, key) >= held
+            for key, held in held_by_key.items()
         )
         if lasts and enough:
             return
         try:
-            async with asyncio.timeout(NOTE_TIMEOUT_S):
+            async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 await self._note([_sharer(daemon, runs_last_s, held_by_key)])
         except (wire.ServingError, TimeoutError) as error:
             logging.info(
@@ -95,12 +96,12 @@
         """Lower the bounds of daemons that hold far less."""
         lowered = []
         for daemon, held_by_key in held:
-            known = self._noted().get(daemon.boot)
+            known = self._committed().get(daemon.boot)
             if known is None or self._pending_by_boot[daemon.boot]:
                 continue
             if any(
-                held_by_key.get(key, 0) * LOWER_AT <= most
-                for key, most in known.most_by_key.items()
+                held_by_key.get(key, 0) * LOWER_FACTOR <= max_share
+                for key, max_share in known.most_by_key.items()
             ):
                 sharer = _sharer(daemon, known.runs_last_s, held_by_key)
                 lowered.append(sharer)
@@ -124,16 +125,18 @@
         for sharer in sharers:
             self._pending_by_boot[sharer.boot].append(sharer)
         note = catalogue.NoteSharers(sharers=tuple(sharers))
-        noting = asyncio.ensure_future(
+        commit = asyncio.ensure_future(
             self._propose(catalogue.Command(note_sharers=note))
         )
-        noting.add_done_callback(lambda done: self._ended(sharers, done))
-        await asyncio.shield(noting)
+        commit.add_done_callback(
+            lambda done: self._on_committed(sharers, done)
+        )
+        await asyncio.shield(commit)
 
-    def _ended(
-        self, sharers: list[catalogue.Sharer], noting: asyncio.Future
+    def _on_committed(
+        self, sharers: list[catalogue.Sharer], commit: asyncio.Future
     ) -> None:
-        if noting.cancelled() or noting.exception() is not None:
+        if commit.cancelled() or commit.exception() is not None:
             # The entry may still be committed, so it stays pending for the
             # rest of this term.
             logging.info(
--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -6,7 +6,7 @@
 
 from bergamotsail.quarantine import _observations
 
-_Ordered = collections.OrderedDict[str, "Suspect"]
+_SuspectTable = collections.OrderedDict[str, "Suspect"]
 # Lost targets after which a request is quarantined.
 MOST_ENDS = 3
 # Losses closer together than this count as one: a failed rack or switch takes
@@ -15,9 +15,9 @@
 # Bounds of memory: suspects per member, members, and targets per suspect.
 MOST_BY_MEMBER = 500
 MOST_MEMBERS = 40
-MOST_TARGETS = 16
+MAX_TARGETS_PER_SUSPECT = 16
 # Suspects in one heartbeat reply; 35 bytes each.
-MOST_TOLD = 32
+MAX_REPORTED_SUSPECTS = 32
 
 
 @dataclasses.dataclass(slots=True)
@@ -46,7 +46,7 @@
         if observation.end is _observations.RunEnd.SERVED:
             self.served_at = max(self.served_at, ended_at)
         elif observation.end is _observations.RunEnd.LOST:
-            if len(self.ended_at_by_target) < MOST_TARGETS:
+            if len(self.ended_at_by_target) < MAX_TARGETS_PER_SUSPECT:
                 self.ended_at_by_target.setdefault(
                     observation.target, ended_at
                 )
@@ -67,7 +67,7 @@
                 last_at = ended_at
         return count
 
-    def heard_at(self) -> float:
+    def last_observed_at(self) -> float:
         """Return the time of the latest loss or success."""
         return max((*self.ended_at_by_target.values(), self.served_at))
 
@@ -80,8 +80,8 @@
     """
 
     def __init__(self) -> None:
-        self.once: _Ordered = collections.OrderedDict()
-        self.again: _Ordered = collections.OrderedDict()
+        self.once: _SuspectTable = collections.OrderedDict()
+        self.again: _SuspectTable = collections.OrderedDict()
 
     def get(self, identity: str) -> Suspect | None:
         """Return the suspect with this identity, or None."""
@@ -94,8 +94,8 @@
         found[identity] = suspect
         if len(self.once) + len(self.again) <= MOST_BY_MEMBER:
             return None
-        gone, _ = (self.once or self.again).popitem(last=False)
-        return gone
+        evicted, _ = (self.once or self.again).popitem(last=False)
+        return evicted
 
     def drop(self, identity: str) -> None:
         """Remove a suspect, if present."""
@@ -124,7 +124,7 @@
         self._member_by_identity: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
-        self._told: tuple[str, ...] | None = ()
+        self._latest_suspects: tuple[str, ...] | None = ()
 
     def take(
         self, observation: _observations.Observation, now: float
@@ -135,14 +135,14 @@
         self._by_member.move_to_end(member)
         suspect = own.get(identity) or Suspect(member, observation.pool)
         suspect.take(observation, now - observation.ended_ago_s)
-        gone = own.put(identity, suspect)
+        evicted = own.put(identity, suspect)
         self._member_by_identity[identity] = member
         self._member_by_identity.move_to_end(identity)
-        if gone is not None:
-            self._member_by_identity.pop(gone, None)
+        if evicted is not None:
+            self._member_by_identity.pop(evicted, None)
         if len(self._by_member) > MOST_MEMBERS:
             self._forget_member(next(iter(self._by_member)))
-        self._told = None
+        self._latest_suspects = None
         return suspect
 
     def ends(self, identity: str) -> int:
@@ -152,25 +152,27 @@
 
     def suspects(self) -> tuple[str, ...]:
         """Return identities of the most recently updated suspects."""
-        if self._told is None:
+        if self._latest_suspects is None:
             latest = reversed(self._member_by_identity)
             found = (one for one in latest if self.ends(one) > 0)
-            self._told = tuple(itertools.islice(found, MOST_TOLD))
-        return self._told
+            self._latest_suspects = tuple(
+                itertools.islice(found, MAX_REPORTED_SUSPECTS)
+            )
+        return self._latest_suspects
 
     def forget(self, identity: str) -> None:
         """Remove a request, so that its count restarts at zero."""
         member = self._member_by_identity.pop(identity, None)
         if member is not None:
             self._by_member[member].drop(identity)
-            self._told = None
+            self._latest_suspects = None
 
     def forget_before(self, oldest: float) -> None:
         """Remove requests whose latest observation is before *oldest*."""
         while self._member_by_identity:
             identity = next(iter(self._member_by_identity))
             suspect = self._find(identity)
-            if suspect is not None and suspect.heard_at() >= oldest:
+            if suspect is not None and suspect.last_observed_at() >= oldest:
                 return
             self.forget(identity)
 
--- a/libs/quarantine/src/bergamotsail/quarantine/_observations.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_observations.py
@@ -8,9 +8,9 @@
 
 # Older observations are dropped: a retry after this counts as a new request.
 KEPT_S = 600.0
-MOST_KEPT = 256
+MAX_BUFFERED = 256
 # Observations in one heartbeat; about 150 bytes each.
-MOST_TOLD = 32
+MAX_REPORTED_OBSERVATIONS = 32
 
 
 class RunEnd(enum.StrEnum):
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Seen:
+class _NumberedObservation:
     number: int
     run: Run
     ended_at: float
@@ -69,14 +69,14 @@
 
     def __init__(self, clock: wire.Clock = wire.LoopClock()) -> None:
         self._clock = clock
-        self._seen: collections.deque[_Seen] = collections.deque(
-            maxlen=MOST_KEPT
+        self._buffer: collections.deque[_NumberedObservation] = (
+            collections.deque(maxlen=MAX_BUFFERED)
         )
         self._number = 0
         self._told_term = -1
-        self._told_number = 0
-        self._lost_here: set[str] = set()
-        self._told_suspects: frozenset[str] = frozenset()
+        self._acknowledged_number = 0
+        self._lost_locally: set[str] = set()
+        self._leader_suspects: frozenset[str] = frozenset()
 
     @property
     def any_suspect(self) -> bool:
@@ -84,11 +84,13 @@
 
         Without suspects no identity has to be looked up.
         """
-        return bool(self._lost_here or self._told_suspects)
+        return bool(self._lost_locally or self._leader_suspects)
 
     def suspected(self, identity: str) -> bool:
         """Whether a request is a suspect, locally or at the leader."""
-        return identity in self._lost_here or identity in self._told_suspects
+        return (
+            identity in self._lost_locally or identity in self._leader_suspects
+        )
 
     def note(self, run: Run, end: RunEnd) -> None:
         """Record how a run ended.
@@ -96,17 +98,19 @@
         Other ends than losses matter only for suspects.
         """
         if end is RunEnd.LOST:
-            self._lost_here.add(run.identity)
+            self._lost_locally.add(run.identity)
         elif not self.suspected(run.identity):
             return
         elif end is RunEnd.SERVED:
-            self._lost_here.discard(run.identity)
+            self._lost_locally.discard(run.identity)
         self._number += 1
-        self._seen.append(_Seen(self._number, run, self._clock.now(), end))
+        self._buffer.append(
+            _NumberedObservation(self._number, run, self._clock.now(), end)
+        )
 
     def take_suspects(self, identities: tuple[str, ...]) -> None:
         """Replace the suspects reported by the leader."""
-        self._told_suspects = frozenset(identities)
+        self._leader_suspects = frozenset(identities)
 
     def forget(self, identities: frozenset[str]) -> None:
         """Remove requests that the leader has quarantined.
@@ -115,41 +119,47 @@
         quarantine them again although an operator had released them.
         """
         if identities and any(
-            seen.run.identity in identities for seen in self._seen
+            seen.run.identity in identities for seen in self._buffer
         ):
-            left = [s for s in self._seen if s.run.identity not in identities]
-            self._seen.clear()
-            self._seen.extend(left)
-            self._lost_here -= identities
+            left = [
+                s for s in self._buffer if s.run.identity not in identities
+            ]
+            self._buffer.clear()
+            self._buffer.extend(left)
+            self._lost_locally -= identities
 
     def pending(self, term: int) -> tuple[int, tuple[Observation, ...]]:
         """Return the last number and the observations to report to a leader.
 
         The number is for :meth:`told` once the leader has replied.
         """
-        self._forget_old()
+        self._drop_expired()
         if term != self._told_term:
-            self._told_term, self._told_number = term, 0
+            self._told_term, self._acknowledged_number = term, 0
         now = self._clock.now()
-        new = [seen for seen in self._seen if seen.number > self._told_number]
-        told = new[:MOST_TOLD]
-        last = told[-1].number if told else self._told_number
-        return last, tuple(_observation(seen, now) for seen in told)
+        new = [
+            seen
+            for seen in self._buffer
+            if seen.number > self._acknowledged_number
+        ]
+        batch = new[:MAX_REPORTED_OBSERVATIONS]
+        last = batch[-1].number if batch else self._acknowledged_number
+        return last, tuple(_observation(seen, now) for seen in batch)
 
     def told(self, term: int, number: int) -> None:
         """Mark observations up to a number as received by the leader."""
         if term == self._told_term:
-            self._told_number = number
+            self._acknowledged_number = number
 
-    def _forget_old(self) -> None:
+    def _drop_expired(self) -> None:
         oldest = self._clock.now() - KEPT_S
-        while self._seen and self._seen[0].ended_at < oldest:
-            self._seen.popleft()
-        if not self._seen:
-            self._lost_here.clear()
+        while self._buffer and self._buffer[0].ended_at < oldest:
+            self._buffer.popleft()
+        if not self._buffer:
+            self._lost_locally.clear()
 
 
-def _observation(seen: _Seen, now: float) -> Observation:
+def _observation(seen: _NumberedObservation, now: float) -> Observation:
     run = seen.run
     return Observation(
         run.identity,
