--- a/libs/control/src/bergamotsail/control/_fleet.py
+++ b/libs/control/src/bergamotsail/control/_fleet.py
@@ -1,4 +1,4 @@
-"""Targets as the lagging instance list shows them."""
+"""Known targets, from the instance list and their own reports."""
 
 import collections.abc
 import dataclasses
@@ -7,17 +7,21 @@
 
 from bergamotsail import targets
 
-FORGET_S = 60.0
+REMOVE_AFTER_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Known:
-    """A target's present start.
+class _TrackedTarget:
+    """The current incarnation of a target.
 
     Args:
-        born_ms: when it started. Its instance may not have that in its id,
-            when it was told of later.
-        said_leaving: it said so itself; the list may be late to.
+        leaving: the instance list shows it as leaving, or not at all.
+        born_ms: start time in milliseconds of Unix time, None if unknown.
+            It may be missing from the id of the instance if it was learned
+            later.
+        missing_since: when it disappeared from the list.
+        said_leaving: it reported itself that it is leaving; the list may
+            show that later.
     """
 
     instance: targets.Instance
@@ -28,63 +32,67 @@
 
 
 class Fleet:
-    """Remembers targets across gaps of the list.
+    """Tracks targets across gaps and delays of the instance list.
 
-    A target that is missing from the list is treated as leaving, since
-    that is the safe reading. A list that is empty all at once is more
-    likely a fault of the list, and changes nothing.
+    A target that is missing from the list is treated as leaving, which is
+    the safe assumption. An empty list is more likely a fault of the list,
+    and is ignored.
 
-    A target that is listed with a later start is another one. The list
-    lags, so an earlier start than the known one changes nothing, and no
-    start at all says nothing.
+    A target listed with a later start time is a new incarnation. The list
+    lags, so an entry with an earlier start time is ignored, and an entry
+    without one leaves the known incarnation in place.
     """
 
     def __init__(self) -> None:
-        self._known_by_name: dict[str, _Known] = {}
+        self._tracked_by_name: dict[str, _TrackedTarget] = {}
 
     def remember(self, instance: targets.Instance, leaving: bool) -> None:
-        """Start from a target that was known before."""
+        """Add a target, or replace what is known of it."""
         start = targets.Incarnation.of(instance.id)
-        known = _Known(instance, leaving, start.born_ms)
-        self._known_by_name[start.name] = known
+        known = _TrackedTarget(instance, leaving, start.born_ms)
+        self._tracked_by_name[start.name] = known
 
     def started(self, target: str, born_ms: int) -> str:
-        """Take a target's own word that another start of it runs now.
+        """Record a restart that a target reported itself.
 
         Args:
-            target: the incarnation that was known.
+            target: the incarnation known so far; if it is outdated, nothing
+                changes.
 
         Returns:
-            The present incarnation.
+            The current incarnation.
         """
         name = targets.Incarnation.of(target).name
-        known = self._known_by_name.get(name)
+        known = self._tracked_by_name.get(name)
         if known is None:
             return target
         if known.instance.id == target:
-            known.instance = _started(known.instance, name, born_ms)
+            known.instance = _with_start_time(known.instance, name, born_ms)
             known.born_ms = born_ms
             known.said_leaving = False
         return known.instance.id
 
     def said_leaving(self, target: str) -> bool:
-        """Take a target's own word that it is leaving; whether it is news.
+        """Record that a target reported itself as leaving.
 
         Args:
-            target: the start that said so; another one changes nothing.
+            target: the incarnation that did; another one changes nothing.
+
+        Returns:
+            Whether that is new.
         """
         name = targets.Incarnation.of(target).name
-        known = self._known_by_name.get(name)
+        known = self._tracked_by_name.get(name)
         if known is None or known.instance.id != target:
             return False
-        news = not known.said_leaving
+        is_new = not known.said_leaving
         known.said_leaving = True
-        return news
+        return is_new
 
     def update(
         self, instances: collections.abc.Sequence[targets.Instance], now: float
     ) -> None:
-        """Take a reading of the list."""
+        """Apply one reading of the instance list."""
         if not instances:
             return
         listed = set()
@@ -92,46 +100,50 @@
             start = targets.Incarnation.of(instance.id)
             listed.add(start.name)
             self._take(start, instance)
-        for name, known in list(self._known_by_name.items()):
+        for name, known in list(self._tracked_by_name.items()):
             if name in listed:
                 continue
             known.leaving = True
             if known.missing_since is None:
                 known.missing_since = now
-            if now - known.missing_since > FORGET_S:
-                del self._known_by_name[name]
+            if now - known.missing_since > REMOVE_AFTER_S:
+                del self._tracked_by_name[name]
 
     def _take(
         self, start: targets.Incarnation, instance: targets.Instance
     ) -> None:
-        """Take an entry of the list."""
+        """Apply one entry of the instance list."""
         leaving = instance.state is targets.InstanceState.LEAVING
-        known = self._known_by_name.get(start.name)
+        known = self._tracked_by_name.get(start.name)
         if known is None:
             self.remember(instance, leaving)
             return
         known.missing_since = None
-        told, before = start.born_ms, known.born_ms
-        if told is not None and before is not None and told < before:
+        listed_ms, known_ms = start.born_ms, known.born_ms
+        if (
+            listed_ms is not None
+            and known_ms is not None
+            and listed_ms < known_ms
+        ):
             return
-        if told is None or before is None or told == before:
+        if listed_ms is None or known_ms is None or listed_ms == known_ms:
             instance = dataclasses.replace(instance, id=known.instance.id)
-        born_ms = before if told is None else told
+        born_ms = known_ms if listed_ms is None else listed_ms
         same = instance.id == known.instance.id
-        said = known.said_leaving and same
-        self._known_by_name[start.name] = _Known(
-            instance, leaving, born_ms, said_leaving=said
+        was_leaving = known.said_leaving and same
+        self._tracked_by_name[start.name] = _TrackedTarget(
+            instance, leaving, born_ms, said_leaving=was_leaving
         )
 
     def all(self) -> list[tuple[targets.Instance, bool]]:
         """Return each target and whether it is leaving."""
         return [
             (known.instance, known.leaving or known.said_leaving)
-            for known in self._known_by_name.values()
+            for known in self._tracked_by_name.values()
         ]
 
 
-def _started(
+def _with_start_time(
     instance: targets.Instance, name: str, born_ms: int
 ) -> targets.Instance:
     start = targets.Incarnation(name, born_ms)
@@ -141,10 +153,10 @@
 def rendezvous(
     key: str, candidates: collections.abc.Iterable[str]
 ) -> list[str]:
-    """Order candidates by their hash with a key, highest first.
+    """Order candidates by rendezvous hashing with a key, highest first.
 
-    Every daemon computes the same order, and a candidate that comes or
-    goes moves only its own keys.
+    Every daemon computes the same order, and adding or removing a candidate
+    moves only its own keys.
     """
     return sorted(
         candidates,
--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -1,4 +1,4 @@
-"""How many targets ended under a request, from all daemons' words."""
+"""Counts of targets lost per request, from reports of all daemons."""
 
 import collections
 import dataclasses
@@ -6,23 +6,29 @@
 
 from bergamotsail.quarantine import _observations
 
-_Ordered = collections.OrderedDict[str, "Suspect"]
-# Targets that a request may end before it is held back.
+_SuspectTable = collections.OrderedDict[str, "Suspect"]
+# Lost targets after which a request is quarantined.
 MOST_ENDS = 3
-# A rack or a switch takes several targets at one moment, and all that runs
-# there with them; that says nothing of any one request.
+# Losses closer together than this count as one: a failed rack or switch takes
+# down several targets and all their requests, whichever they are.
 SEPARATE_S = 0.25
-# What is remembered: requests of a member, and members.
+# Bounds of memory: suspects per member, members, and targets per suspect.
 MOST_BY_MEMBER = 500
 MOST_MEMBERS = 40
-MOST_TARGETS = 16
-# In the answer to a heartbeat; 35 bytes each.
-MOST_TOLD = 32
+MAX_TARGETS_PER_SUSPECT = 16
+# Suspects in one heartbeat reply; 35 bytes each.
+MAX_REPORTED_SUSPECTS = 32
 
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """A request that was lost with a target, and not served since."""
+    """Loss history of a request that was lost with a target.
+
+    Args:
+        ended_at_by_target: time of the loss, by incarnation of the target.
+        served_at: latest time at which it was served.
+        ends: separate losses since it was last served.
+    """
 
     member: str
     pool: str
@@ -36,18 +42,18 @@
     def take(
         self, observation: _observations.Observation, ended_at: float
     ) -> None:
-        """Take how one run ended."""
+        """Record how one run ended."""
         if observation.end is _observations.RunEnd.SERVED:
             self.served_at = max(self.served_at, ended_at)
         elif observation.end is _observations.RunEnd.LOST:
-            if len(self.ended_at_by_target) < MOST_TARGETS:
+            if len(self.ended_at_by_target) < MAX_TARGETS_PER_SUSPECT:
                 self.ended_at_by_target.setdefault(
                     observation.target, ended_at
                 )
         self.ends = self._count()
 
     def _count(self) -> int:
-        """Count the ends since it was served, those of one moment as one."""
+        """Count losses since it was served; simultaneous ones count once."""
         since = [
             ended_at
             for ended_at in self.ended_at_by_target.values()
@@ -61,38 +67,38 @@
                 last_at = ended_at
         return count
 
-    def heard_at(self) -> float:
-        """Return when something was last heard of it."""
+    def last_observed_at(self) -> float:
+        """Return the time of the latest loss or success."""
         return max((*self.ended_at_by_target.values(), self.served_at))
 
 
 class _MemberSuspects:
-    """Suspects of one member, the latest last.
+    """Bounded table of one member's suspects, least recently updated first.
 
-    Most were lost beside another request, once; they make room before those
-    that were lost again.
+    Most suspects were lost once, because another request crashed their
+    target. They are evicted before those lost more than once.
     """
 
     def __init__(self) -> None:
-        self.once: _Ordered = collections.OrderedDict()
-        self.again: _Ordered = collections.OrderedDict()
+        self.once: _SuspectTable = collections.OrderedDict()
+        self.again: _SuspectTable = collections.OrderedDict()
 
     def get(self, identity: str) -> Suspect | None:
-        """Return a suspect, if it is known."""
+        """Return the suspect with this identity, or None."""
         return self.once.get(identity) or self.again.get(identity)
 
     def put(self, identity: str, suspect: Suspect) -> str | None:
-        """Put a suspect last; return who had to make room."""
+        """Insert or update a suspect; return the evicted identity, if any."""
         self.drop(identity)
         found = self.again if suspect.ends > 1 else self.once
         found[identity] = suspect
         if len(self.once) + len(self.again) <= MOST_BY_MEMBER:
             return None
-        gone, _ = (self.once or self.again).popitem(last=False)
-        return gone
+        evicted, _ = (self.once or self.again).popitem(last=False)
+        return evicted
 
     def drop(self, identity: str) -> None:
-        """Forget a suspect."""
+        """Remove a suspect, if present."""
         self.once.pop(identity, None)
         self.again.pop(identity, None)
 
@@ -101,69 +107,72 @@
 
 
 class EndCounter:
-    """Counts, by request, the targets that ended while they ran it.
+    """Counts, by request, the targets that were lost while they ran it.
 
-    Words come late, twice and in any order; the count is the same.
+    Observations may arrive late, duplicated and in any order; the count is
+    the same.
 
-    Example: a request that was lost at ``e1``, came again and was lost at
-    ``e2`` has two ends, and none once it was answered in whole.
+    Example: a request that was lost at ``e1``, retried and lost at ``e2``
+    counts two ends, and none after it got a complete response.
     """
 
     def __init__(self) -> None:
         self._by_member: collections.OrderedDict[str, _MemberSuspects] = (
             collections.OrderedDict()
         )
-        # The latest last.
+        # Least recently updated first.
         self._member_by_identity: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
-        self._told: tuple[str, ...] | None = ()
+        self._latest_suspects: tuple[str, ...] | None = ()
 
     def take(
         self, observation: _observations.Observation, now: float
     ) -> Suspect:
-        """Take a daemon's word and return what is known of the request."""
+        """Record a daemon's observation and return the updated suspect."""
         identity, member = observation.identity, observation.member
         own = self._by_member.setdefault(member, _MemberSuspects())
         self._by_member.move_to_end(member)
         suspect = own.get(identity) or Suspect(member, observation.pool)
         suspect.take(observation, now - observation.ended_ago_s)
-        gone = own.put(identity, suspect)
+        evicted = own.put(identity, suspect)
         self._member_by_identity[identity] = member
         self._member_by_identity.move_to_end(identity)
-        if gone is not None:
-            self._member_by_identity.pop(gone, None)
+        if evicted is not None:
+            self._member_by_identity.pop(evicted, None)
         if len(self._by_member) > MOST_MEMBERS:
             self._forget_member(next(iter(self._by_member)))
-        self._told = None
+        self._latest_suspects = None
         return suspect
 
     def ends(self, identity: str) -> int:
-        """Return how many targets ended under a request since it served."""
+        """Return how many targets a request lost since it was served."""
         suspect = self._find(identity)
         return 0 if suspect is None else suspect.ends
 
     def suspects(self) -> tuple[str, ...]:
-        """Return the latest requests that are suspected."""
-        if self._told is None:
+        """Return identities of the most recently updated suspects."""
+        if self._latest_suspects is None:
             latest = reversed(self._member_by_identity)
             found = (one for one in latest if self.ends(one) > 0)
-            self._told = tuple(itertools.islice(found, MOST_TOLD))
-        return self._told
+            self._latest_suspects = tuple(
+                itertools.islice(found, MAX_REPORTED_SUSPECTS)
+            )
+        return self._latest_suspects
 
     def forget(self, identity: str) -> None:
-        """Begin to count anew."""
+        """Remove a request, so that its count restarts at zero."""
         member = self._member_by_identity.pop(identity, None)
         if member is not None:
             self._by_member[member].drop(identity)
-            self._told = None
+            self._latest_suspects = None
 
     def forget_before(self, oldest: float) -> None:
-        """Forget requests of which nothing was heard since a moment."""
+        """Remove requests whose latest observation is before *oldest*."""
         while self._member_by_identity:
             identity = next(iter(self._member_by_identity))
             suspect = self._find(identity)
-            if suspect is not None and suspect.heard_at() >= oldest:
+            if suspect is not None and suspect.last_observed_at() >= oldest:
                 return
             self.forget(identity)
 
--- a/libs/quarantine/src/bergamotsail/quarantine/_observations.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_observations.py
@@ -1,4 +1,4 @@
-"""What one daemon saw of requests that were lost with their target."""
+"""A daemon's observations of requests that were lost with their target."""
 
 import collections
 import dataclasses
@@ -6,15 +6,15 @@
 
 from bergamotsail import wire
 
-# A caller that comes back later than this begins anew.
+# Older observations are dropped: a retry after this counts as a new request.
 KEPT_S = 600.0
-MOST_KEPT = 256
-# In one heartbeat; some 150 bytes each.
-MOST_TOLD = 32
+MAX_BUFFERED = 256
+# Observations in one heartbeat; about 150 bytes each.
+MAX_REPORTED_OBSERVATIONS = 32
 
 
 class RunEnd(enum.StrEnum):
-    """How a run ended, as the daemon that sent it there saw it."""
+    """How a run ended, as seen by the daemon that sent the request."""
 
     LOST = "lost"
     SERVED = "served"
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A request at a target.
+    """One execution of a request at a target.
 
     Args:
-        identity: what repeats of the request share.
-        member: whose request it is.
-        target: the start of a target.
+        identity: shared by all retries of the request.
+        member: owner of the request.
+        target: incarnation of the target.
     """
 
     identity: str
@@ -39,10 +39,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """How a run ended, as it is told to the leader.
+    """How a run ended, as reported to the leader.
 
     Args:
-        ended_ago_s: when it ended, in seconds before now.
+        ended_ago_s: age of the end when it is reported, in seconds.
     """
 
     identity: str
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Seen:
+class _NumberedObservation:
     number: int
     run: Run
     ended_at: float
@@ -62,85 +62,104 @@
 
 
 class Observations:
-    """Keeps what was seen, and tells each leader once.
+    """Buffers observations and reports each of them once per leader.
 
-    A leader that is new has heard nothing, so all is told again.
+    A new leader starts without observations, so all are reported again.
     """
 
     def __init__(self, clock: wire.Clock = wire.LoopClock()) -> None:
         self._clock = clock
-        self._seen: collections.deque[_Seen] = collections.deque(
-            maxlen=MOST_KEPT
+        self._buffer: collections.deque[_NumberedObservation] = (
+            collections.deque(maxlen=MAX_BUFFERED)
         )
         self._number = 0
         self._told_term = -1
-        self._told_number = 0
-        self._lost_here: set[str] = set()
-        self._told_suspects: frozenset[str] = frozenset()
+        self._acknowledged_number = 0
+        self._lost_locally: set[str] = set()
+        self._leader_suspects: frozenset[str] = frozenset()
 
     @property
     def any_suspect(self) -> bool:
-        """Whether any request is suspected; else identities don't matter."""
-        return bool(self._lost_here or self._told_suspects)
+        """Whether any request is suspected.
+
+        Without suspects no identity has to be looked up.
+        """
+        return bool(self._lost_locally or self._leader_suspects)
 
     def suspected(self, identity: str) -> bool:
-        """Whether a request was lost with a target, and not served since."""
-        return identity in self._lost_here or identity in self._told_suspects
+        """Whether a request is a suspect, locally or at the leader."""
+        return (
+            identity in self._lost_locally or identity in self._leader_suspects
+        )
 
     def note(self, run: Run, end: RunEnd) -> None:
-        """Note how a run ended, unless that says nothing new."""
+        """Record how a run ended.
+
+        Other ends than losses matter only for suspects.
+        """
         if end is RunEnd.LOST:
-            self._lost_here.add(run.identity)
+            self._lost_locally.add(run.identity)
         elif not self.suspected(run.identity):
             return
         elif end is RunEnd.SERVED:
-            self._lost_here.discard(run.identity)
+            self._lost_locally.discard(run.identity)
         self._number += 1
-        self._seen.append(_Seen(self._number, run, self._clock.now(), end))
+        self._buffer.append(
+            _NumberedObservation(self._number, run, self._clock.now(), end)
+        )
 
     def take_suspects(self, identities: tuple[str, ...]) -> None:
-        """Take what the leader suspects, from all daemons' words."""
-        self._told_suspects = frozenset(identities)
+        """Replace the suspects reported by the leader."""
+        self._leader_suspects = frozenset(identities)
 
     def forget(self, identities: frozenset[str]) -> None:
-        """Forget requests that were judged.
+        """Remove requests that the leader has quarantined.
 
-        Told again to a later leader, they would be held back again though
-        an operator let them run.
+        Reported again to a later leader, their observations would
+        quarantine them again although an operator had released them.
         """
         if identities and any(
-            seen.run.identity in identities for seen in self._seen
+            seen.run.identity in identities for seen in self._buffer
         ):
-            left = [s for s in self._seen if s.run.identity not in identities]
-            self._seen.clear()
-            self._seen.extend(left)
-            self._lost_here -= identities
+            left = [
+                s for s in self._buffer if s.run.identity not in identities
+            ]
+            self._buffer.clear()
+            self._buffer.extend(left)
+            self._lost_locally -= identities
 
     def pending(self, term: int) -> tuple[int, tuple[Observation, ...]]:
-        """Return what the leader of a term lacks, and the last number."""
-        self._forget_old()
+        """Return the last number and the observations to report to a leader.
+
+        The number is for :meth:`told` once the leader has replied.
+        """
+        self._drop_expired()
         if term != self._told_term:
-            self._told_term, self._told_number = term, 0
+            self._told_term, self._acknowledged_number = term, 0
         now = self._clock.now()
-        new = [seen for seen in self._seen if seen.number > self._told_number]
-        told = new[:MOST_TOLD]
-        last = told[-1].number if told else self._told_number
-        return last, tuple(_observation(seen, now) for seen in told)
+        new = [
+            seen
+            for seen in self._buffer
+            if seen.number > self._acknowledged_number
+        ]
+        batch = new[:MAX_REPORTED_OBSERVATIONS]
+        last = batch[-1].number if batch else self._acknowledged_number
+        return last, tuple(_observation(seen, now) for seen in batch)
 
     def told(self, term: int, number: int) -> None:
-        """Note that the leader of a term has heard all up to a number."""
+        """Mark observations up to a number as received by the leader."""
         if term == self._told_term:
-            self._told_number = number
+            self._acknowledged_number = number
 
-    def _forget_old(self) -> None:
+    def _drop_expired(self) -> None:
         oldest = self._clock.now() - KEPT_S
-        while self._seen and self._seen[0].ended_at < oldest:
-            self._seen.popleft()
-        if not self._seen:
-            self._lost_here.clear()
+        while self._buffer and self._buffer[0].ended_at < oldest:
+            self._buffer.popleft()
+        if not self._buffer:
+            self._lost_locally.clear()
 
 
-def _observation(seen: _Seen, now: float) -> Observation:
+def _observation(seen: _NumberedObservation, now: float) -> Observation:
     run = seen.run
     return Observation(
         run.identity,
