--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -1,4 +1,4 @@
-"""One daemon: its roles, wired together."""
+"""Builds one daemon from its components and runs its lifecycle."""
 
 import asyncio
 import collections.abc
@@ -25,13 +25,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outside:
-    """All that a daemon reaches outside itself.
+    """External dependencies of a daemon, replaceable in tests.
 
     Args:
-        make_engine: gives the engine at an address.
-        make_service: gives the plain service at an address.
-        disk: the data folder, None on a daemon without one.
-        wall_s: wall clock, used only to age idempotency keys.
+        make_engine: returns a client of the engine at an address.
+        make_service: returns a client of the plain service at an address.
+        disk: storage of the data folder; None on a daemon that keeps no
+            replica of the log.
+        wall_s: wall clock in seconds, used only to age idempotency keys.
     """
 
     transport: wire.PeerTransport
@@ -46,7 +47,7 @@
 
 
 class _Participant(control.Participant):
-    """Connects the session with admission and owners."""
+    """Forwards callbacks of the session to admission and target owners."""
 
     def __init__(
         self, admission: routing.Admission, owners: placement.Owners
@@ -80,7 +81,10 @@
 
 
 class Daemon:
-    """One ``bergamotsaild``; an async context manager that runs it."""
+    """The components of one ``bergamotsaild`` process.
+
+    An async context manager that runs their background tasks.
+    """
 
     def __init__(
         self, settings: settings_lib.DaemonSettings, outside: Outside
@@ -218,7 +222,11 @@
         await self._stack.aclose()
 
     def check_accepting(self) -> None:
-        """Refuse a new request late in a planned stop."""
+        """Raise when a graceful shutdown no longer admits requests.
+
+        Raises:
+            StoppingError: with the address of another instance, if known.
+        """
         if self.accepting:
             return
         answer = self.where.look_up(self.settings.name)
@@ -229,43 +237,48 @@
         )
 
     async def stop(self) -> None:
-        """Stop as planned and cut nothing off; a second call joins in."""
+        """Shut down gracefully; concurrent calls wait for the same shutdown.
+
+        Requests get ``stop.finish_s`` to finish once no new ones are
+        admitted.
+        """
         self.request_stop()
         await asyncio.shield(self._stopped)
 
     def request_stop(self) -> None:
-        """Start a planned stop, if none has started."""
+        """Start a graceful shutdown unless one has started."""
         if self._stopped is None:
             self._stopped = asyncio.create_task(self._stop())
         self._stop_requested.set()
 
     async def wait_stopped(self) -> None:
-        """Wait until a planned stop was asked for and is done."""
+        """Wait until a graceful shutdown is requested and completes."""
         await self._stop_requested.wait()
         await self.stop()
 
     async def _stop(self) -> None:
-        """Leave the look-ups, hand over, serve on, finish, sync."""
+        """Hand over targets, drain requests, transfer leadership."""
         clock = self._outside.clock
-        logging.info("stop: Leaving the look-ups, handing targets over.")
+        logging.info("stop: Announcing shutdown and handing over targets.")
         self.stopping = True
         self.session.set_leaving()
         started_at = clock.now()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.stop.finish_s):
                 await self.owners.hand_over_all()
-        # Callers may hold an old answer for this long and still come here.
+        # Callers may use a cached lookup result for this long, so requests
+        # are admitted until it has expired.
         kept_s = self.settings.answer_keep_s + self.settings.lease.heartbeat_s
         await clock.sleep(max(0.0, started_at + kept_s - clock.now()))
         self.accepting = False
-        logging.info("stop: Taking no more requests, finishing the rest.")
+        logging.info("stop: Refusing new requests, draining active ones.")
         deadline = clock.now() + self.settings.stop.finish_s
         while self._busy() and clock.now() < deadline:
             await clock.sleep(STOP_POLL_S)
         await self.services.settled()
         if self.node is not None:
             await self.node.transfer()
-        logging.info("stop: Done.")
+        logging.info("stop: Shutdown complete.")
 
     def _busy(self) -> bool:
         return self.admission.active > 0 or self.owners.active() > 0
--- a/libs/daemon/src/bergamotsail/daemon/_base_handler.py
+++ b/libs/daemon/src/bergamotsail/daemon/_base_handler.py
@@ -1,4 +1,4 @@
-"""What all HTTP handlers of a daemon share."""
+"""Base class of the daemon's HTTP handlers."""
 
 import asyncio
 import collections.abc
@@ -17,31 +17,34 @@
 
 
 class BaseHandler(_bounded_body.BoundedBodyHandler):
-    """Bounds the body, types every error, and notices lost callers."""
+    """Limits the body, sends typed errors, cancels work of lost callers."""
 
     prefix = "http"
     refusal_level = logging.INFO
 
     def initialize(self, daemon: "_assembly.Daemon") -> None:
-        """Take the daemon that the routes give."""
+        """Store the daemon, an argument of the route."""
         self.daemon = daemon
         self.begin_body(daemon.settings.http.max_body_bytes)
         self._task: asyncio.Task | None = None
 
     def end_refused(self) -> None:
-        """Answer with the typed refusal."""
+        """Send the error response for a refused body."""
         assert self.refused is not None
         self.send_typed(self.refused)
 
     def on_connection_close(self) -> None:
-        """Cancel the work of a caller that went away."""
+        """Cancel the work for a caller that closed the connection."""
         if self._task is not None:
             self._task.cancel()
 
     async def serve(
         self, work: collections.abc.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
-        """Run the handler's work; a caller that goes away cancels it."""
+        """Run a handler's work and send a typed error if it fails.
+
+        The work is cancelled when the caller closes the connection.
+        """
         if self.refused is not None:
             work.close()
             self.end_refused()
@@ -51,14 +54,16 @@
             await self._task
         except asyncio.CancelledError:
             logging.log(
-                self.refusal_level, "%s: Caller went away.", self.prefix
+                self.refusal_level,
+                "%s: Caller closed the connection.",
+                self.prefix,
             )
         except iostream.StreamClosedError:
-            logging.info("%s: Caller went away.", self.prefix)
+            logging.info("%s: Caller closed the connection.", self.prefix)
         except wire.ServingError as error:
             logging.log(
                 self.refusal_level,
-                "%s: Refused. code=%s ran=%s %s",
+                "%s: Request refused. code=%s ran=%s %s",
                 self.prefix,
                 error.code,
                 error.ran,
@@ -66,13 +71,13 @@
             )
             self.send_typed(error)
         except Exception:
-            logging.exception("%s: A request broke.", self.prefix)
-            self.send_typed(
-                wire.InternalError("Something broke here. See the log.")
+            logging.exception(
+                "%s: Unhandled exception in a request.", self.prefix
             )
+            self.send_typed(wire.InternalError("Internal error. See the log."))
 
     def send_typed(self, error: wire.ServingError) -> None:
-        """Answer with a typed error."""
+        """Send a typed error as the response, unless one is complete."""
         if self._finished:
             return
         self.set_status(error.status)
@@ -84,18 +89,18 @@
         self.finish(self.error_json(error))
 
     def error_json(self, error: wire.ServingError) -> bytes:
-        """Return the JSON form of an error."""
+        """Return the JSON body of an error response."""
         return wire.encode({"error": error.body()})
 
     def send_json(self, value: object) -> None:
-        """Answer with a value."""
+        """Send a value as JSON."""
         self.set_header("Content-Type", "application/json")
         self.finish(wire.encode(value))
 
     def write_error(self, status_code: int, **_: typing.Any) -> None:
-        """Type the errors that tornado itself finds."""
+        """Replace tornado's own error pages by typed errors."""
         self.send_typed(
-            wire.BadRequestError("Send a request as the README shows.")
+            wire.BadRequestError("Malformed request. See the README.")
             if status_code < 500
-            else wire.InternalError("Something broke here. See the log.")
+            else wire.InternalError("Internal error. See the log.")
         )
--- a/libs/daemon/src/bergamotsail/daemon/_bounded_body.py
+++ b/libs/daemon/src/bergamotsail/daemon/_bounded_body.py
@@ -1,41 +1,41 @@
-"""Bodies of requests, bounded, and refused without losing the answer."""
+"""Request bodies with a size limit whose refusal reaches the caller."""
 
 from tornado import web
 
 from bergamotsail import wire
 
-# What a daemon takes where nothing else is set.
+# Default limit of a request body.
 BODY_BYTES = 16 * 1024 * 1024
-# A refused body is read to its end up to this size, and dropped. Beyond it
-# the connection is closed, and the refusal may be lost with it: nobody is
-# owed the reading of an endless body.
+# A refused body is read and discarded up to this size. Beyond it the
+# connection is closed, so that an endless body can't occupy the daemon, and
+# the caller may lose the error response.
 MOST_DROPPED_BYTES = 64 * 1024 * 1024
-# The web server's own limit closes the connection before a handler runs,
-# so it must never be the one that is met. As large as a length may be.
+# Limit of tornado's server. It must never be reached, because the server
+# would close the connection before a handler can respond.
 SERVER_BODY_BYTES = 2**62
 
 
 @web.stream_request_body
 class BoundedBodyHandler(web.RequestHandler):
-    """Collects a body up to a limit, and notes why it was refused.
+    """Buffers a request body up to a limit.
 
-    To answer before a body is read closes the connection with unread bytes
-    in it. That resets it, and a caller that still sends loses the answer.
-    So the rest is read and dropped first; *refused* says why, once the
-    handler's method runs.
+    A response before the body is read would close the connection with
+    unread data. That resets it, and a caller that is still sending loses
+    the response. So the rest of a refused body is read and discarded first.
+    *refused* then holds the error when the handler's HTTP method runs.
     """
 
     max_body_bytes = 0
 
     def begin_body(self, max_body_bytes: int) -> None:
-        """Start to collect; called when the handler is made."""
+        """Initialize the buffer; call this in ``initialize``."""
         self.max_body_bytes = max_body_bytes
         self.refused: wire.ServingError | None = None
         self._pieces: list[bytes] = []
         self._size = 0
 
     def prepare(self) -> None:
-        """Refuse a body that says it is too large."""
+        """Refuse a body whose Content-Length exceeds the limit."""
         length = self.request.headers.get("Content-Length", "0")
         if length.isdigit() and int(length) > self.max_body_bytes:
             self._refuse()
@@ -43,7 +43,7 @@
                 self.end_refused()
 
     def data_received(self, chunk: bytes) -> None:
-        """Collect the body, up to the limit."""
+        """Buffer a chunk of the body, up to the limit."""
         self._size += len(chunk)
         if self._size <= self.max_body_bytes and self.refused is None:
             self._pieces.append(chunk)
@@ -59,14 +59,14 @@
         )
 
     def end_refused(self) -> None:
-        """Answer a refused body; the rest of it is not read."""
+        """Send the error response for a refused body."""
         raise NotImplementedError
 
     @property
     def body(self) -> bytes:
-        """The whole body."""
+        """The buffered body."""
         return b"".join(self._pieces)
 
     def on_finish(self) -> None:
-        """Let the pieces go with the request."""
+        """Free the buffer when the request has ended."""
         self._pieces.clear()
--- a/libs/daemon/src/bergamotsail/daemon/_peer_face.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_face.py
@@ -1,9 +1,9 @@
-"""Calls from other daemons, straight on the web server.
+"""Serves calls from other daemons directly on tornado's HTTP server.
 
-Most of what a leading replica does is to answer short calls. Tornado's
-server is used without its framework of applications and handlers, which
-took a quarter of each call's time: 0.38 ms of processor instead of 0.52
-(3,000 place calls from 20 callers at once, beside other load).
+A leading replica spends most of its time on short calls. Without tornado's
+web framework (applications and handlers) a call takes about a quarter less
+CPU time: 0.38 ms instead of 0.52 ms, for 3,000 place calls from 20
+concurrent callers on a machine under other load.
 """
 
 import asyncio
@@ -20,20 +20,24 @@
 from bergamotsail import observe
 from bergamotsail import wire
 
-# How often the loop is asked how late it is.
+# Sampling interval of the event loop lag.
 LAG_POLL_S = 0.02
-# How many looks are remembered, and for how long they count.
+# Maximum number and age of the samples that are kept.
 LAG_LOOKS = 50
 LAG_WINDOW_S = 1.0
-# Refused calls share a line for so long.
+# Minimum interval between log events about shed calls.
 SHED_LINE_S = 1.0
-# Calls that nobody serves here are counted together.
+# Metric label of all calls without a handler.
 OTHER_CALLS = "other"
-NOT_FOUND = wire.NotFoundError("This address answers daemons only.")
+NOT_FOUND = wire.NotFoundError("This address serves calls of daemons only.")
 
 
 class LoopLag:
-    """How late the event loop is; an async context manager."""
+    """Measures the lag of the event loop; an async context manager.
+
+    The lag is how much later than requested the loop wakes a sleeping task.
+    ``now_s`` is the latest sample.
+    """
 
     def __init__(self, clock: wire.Clock = wire.LoopClock()) -> None:
         self.now_s = 0.0
@@ -51,12 +55,15 @@
         await self._background.stop()
 
     def worst_s(self) -> float:
-        """Return the worst of the last second, with a look that is due."""
+        """Return the largest lag of the last second.
+
+        It includes the sample in progress, if that is overdue.
+        """
         overdue_s = self._clock.now() - self._due_at
         return max(0.0, overdue_s, *self._recent())
 
     def mean_s(self) -> float:
-        """Return the mean of the last second; it tells how busy it is."""
+        """Return the mean lag of the last second, a measure of load."""
         recent = self._recent()
         return sum(recent) / max(len(recent), 1)
 
@@ -74,11 +81,12 @@
 
 
 class PeerFace:
-    """Answers requests of other daemons by the calls of a server.
+    """Dispatches requests of other daemons to the handlers of a server.
 
-    A call that its server lets wait (``shed_after_s``) is refused while the
-    loop is later than that, before it is read: what keeps the lead, such as
-    votes and entries of the log, then still finds time.
+    Sheds load: a call registered with ``shed_after_s`` is refused, before
+    its body is parsed, while the loop lag is larger than that. This leaves
+    time for the calls that keep the leader in office, such as votes and log
+    replication.
     """
 
     def __init__(
@@ -98,7 +106,7 @@
         self._tell_shed_at = float("-inf")
 
     def __call__(self, request: httputil.HTTPServerRequest) -> None:
-        """Answer a request; the web server calls this."""
+        """Handle a request; the HTTP server calls this."""
         name = request.path.removeprefix(wire.PEER_PATH)
         if name not in self._server.by_name:
             name = OTHER_CALLS
@@ -112,12 +120,12 @@
         try:
             await self._answer_call(request)
         except iostream.StreamClosedError:
-            logging.debug("peer: Caller went away.")
+            logging.debug("peer: Caller closed the connection.")
         except wire.ServingError as error:
             _send(request, error.status, wire.encode(error.body()))
         except Exception:
-            logging.exception("peer: A call broke.")
-            error = wire.InternalError("Something broke here. See the log.")
+            logging.exception("peer: Unhandled exception in a call.")
+            error = wire.InternalError("Internal error. See the log.")
             _send(request, error.status, wire.encode(error.body()))
 
     async def _answer_call(self, request: httputil.HTTPServerRequest) -> None:
@@ -144,7 +152,7 @@
         if most_s is not None and self._lag.now_s > most_s:
             self._note_shed(name)
             raise wire.BehindError(
-                "This daemon is behind with its work. Ask again.",
+                "This daemon is overloaded: its event loop lags. Retry.",
                 retry_after_s=self._lag.now_s,
             )
 
@@ -168,7 +176,7 @@
 def _send(
     request: httputil.HTTPServerRequest, status: int, body: bytes
 ) -> None:
-    """Send a whole answer; one whose caller left is dropped."""
+    """Send a whole response; discard it if the connection is closed."""
     connection = request.connection
     headers = httputil.HTTPHeaders(
         {
@@ -183,7 +191,7 @@
 
 
 async def _stream(request: httputil.HTTPServerRequest, replies) -> None:
-    """Send one line for each reply, then the end or a typed error."""
+    """Send one JSON line per reply, then an end or error line."""
     connection = request.connection
     headers = httputil.HTTPHeaders({"Content-Type": "application/json"})
     await connection.write_headers(_first_line(http.client.OK), headers)
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -1,8 +1,10 @@
-"""The two kinds of process of a deployment with routes.
+"""The two process roles of a deployment with a route table.
 
-A *replica* keeps the log and, while it leads, gives the orders to all
-engines. An *entry* has no disk; it takes callers' requests and sends them
-straight to targets. Both know each other through the replicas' addresses.
+A *replica* stores the replicated log. While it leads, it places requests
+and sends orders (load and evict commands) to all engines. An *entry* is a
+stateless gateway: it accepts callers' requests and forwards them directly
+to targets. Both discover the other processes through the addresses of the
+replicas.
 """
 
 import asyncio
@@ -41,22 +43,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleSettings:
-    """What both kinds of process are told.
+    """Settings common to both roles.
 
     Args:
-        address: where other daemons reach this one.
-        seeds: addresses of some replicas.
-        peer_token: the shared secret of all daemons.
-        order_quiet_s: a new leader gives no orders for so long; 0 where
-            engines check fencing numbers.
-        order_lease_s: who gave orders before another did gives none until
-            its own last one is so old.
-        places: how the holder of the orders decides.
-        borne_losses: how many replicas may be lost at once, also with
-            their disks while all others lose power: what was acknowledged
-            is kept then, and the log goes on.
-        domain: what may be lost as a whole with this process; its data
-            centre when None.
+        address: peer address, where other daemons reach this one.
+        seeds: peer addresses of some replicas.
+        peer_token: shared secret that authenticates daemons to each other.
+        order_quiet_s: how long a new leader waits before its first order;
+            0 where engines check fencing tokens.
+        order_lease_s: minimum age of this process's last order before it
+            may give orders again, once another process may have given some.
+        places: settings of the placement decisions.
+        borne_losses: number of simultaneous replica failures to tolerate,
+            including loss of their disks while all other replicas lose
+            power: acknowledged entries survive, and the log stays writable.
+        domain: failure domain of this process; its data centre when None.
     """
 
     name: str
@@ -74,10 +75,11 @@
 
     @property
     def voters(self) -> int:
-        """How many replicas vote, so that a majority outlives the losses.
+        """Number of voters, so that a majority survives *borne_losses*.
 
-        With the seeds for a measure, a loss of two of three disks would
-        end the log for good. One loss is always borne.
+        The number of seeds does not set it: with three seeds as the only
+        voters, losing two disks would end the log for good. At least one
+        failure is always tolerated.
         """
         return 2 * max(self.borne_losses, 1) + 1
 
@@ -85,10 +87,10 @@
 def counted_transport(
     http: wire.CurlClient, token: str, metrics: observe.Metrics
 ) -> wire.HttpPeerTransport:
-    """Return the way to other daemons, with its bytes counted by call."""
+    """Return a peer transport that counts the bytes of each call."""
 
     def called(name: str, sent: int, received: int) -> None:
-        """Count a call of this process, apart from those it answers."""
+        """Count an outgoing call, separately from incoming calls."""
         kind = f"call {name}"
         observe.count_message(metrics, kind, received=received, sent=sent)
 
@@ -96,27 +98,27 @@
 
 
 class MetricsHandler(web.RequestHandler):
-    """Counters and histograms as text, and what was not written to logs."""
+    """Serves counters, histograms and the count of dropped log lines."""
 
     def initialize(self, metrics: observe.Metrics) -> None:
-        """Take what the application gives."""
+        """Store the handler arguments of the application."""
         self._metrics = metrics
 
     def get(self) -> None:
-        """Return one line for each figure."""
+        """Respond with one line of text for each value."""
         self.set_header("Content-Type", "text/plain")
         text = observe.as_text(self._metrics.snapshot())
         self.finish(f"{text}log_lines_dropped {observe.lines_dropped()}\n")
 
 
 def metrics_application(metrics: observe.Metrics) -> web.Application:
-    """Return an application that shows the metrics of this process."""
+    """Return an application that serves the metrics of this process."""
     routes = [(r"/metrics", MetricsHandler, {"metrics": metrics})]
     return _quiet.quiet_application(routes)
 
 
 class _NodeLeadership(placement.Leadership):
-    """Leadership of the log, as the holder of orders asks for it."""
+    """Grants the right to give orders to the leader of the log."""
 
     def __init__(self, node: quorum.Node) -> None:
         self._node = node
@@ -133,13 +135,18 @@
 
 
 async def _propose(node: quorum.Node, command: catalogue.Command) -> object:
-    """Commit a command within a bounded time."""
+    """Commit a command.
+
+    Raises:
+        TimeoutError: it was not committed within PROPOSE_TIMEOUT_S; the
+            outcome is unknown.
+    """
     async with asyncio.timeout(PROPOSE_TIMEOUT_S):
         return await node.propose(wire.encode(command))
 
 
 class _LogNotes(placement.CopyNotes):
-    """Remembers copies in the log, so that the next leader knows them."""
+    """Persists adapter copies in the log, so that the next leader has them."""
 
     def __init__(
         self, node: quorum.Node, machine: catalogue.CatalogueMachine
@@ -155,7 +162,7 @@
 
 
 class _LogHolders(placement.HolderNotes):
-    """Remembers in the log who gave orders to engines."""
+    """Persists in the log which instances gave orders to engines."""
 
     def __init__(
         self,
@@ -180,12 +187,14 @@
 
 
 class Replica:
-    """A replica of the log; an async context manager.
+    """A replica of the log; an async context manager that runs it.
 
     Args:
-        forms: at the very first start, form the log with the seeds.
-        make_engine: gives the engine of a listed target.
-        started_at: when this process started, on the clock.
+        make_engine: returns a client of the engine of a listed target.
+        forms: bootstrap the log with the seeds; true only at the first
+            start of a deployment.
+        list_interval_s: how often the list of targets is read.
+        started_at: when this process started, on *clock*.
     """
 
     def __init__(
@@ -277,19 +286,23 @@
         await self._stack.aclose()
 
     async def failed(self) -> None:
-        """Return when the disk failed, so that a new start reads it."""
+        """Wait until the disk fails; a restart then reads its contents."""
         while self.node.role is not quorum.Role.FAILED:
             await asyncio.sleep(FAILED_WAIT_S)
-        logging.error("replica: The disk failed. %s", self.node.error)
+        logging.error("replica: Disk failure: %s", self.node.error)
 
     async def replace_routes(
         self, table: catalogue.RouteTable, document: str
     ) -> catalogue.VersionReply:
-        """Put a table of routes in force; returns once it is durable.
+        """Replace the route table; returns once the change is durable.
+
+        A version that is not newer than the current one changes nothing.
 
         Raises:
-            NotLeaderError: ask the leader.
-            UnknownOutcomeError: send it again.
+            NotLeaderError: this replica does not lead.
+            UnknownOutcomeError: the change may or may not be committed; it
+                is safe to retry.
+            TimeoutError: likewise.
         """
         current = self.machine.view.routes.table.version
         if table.version <= current and self.node.is_leader:
@@ -301,14 +314,19 @@
     async def name_version(
         self, name: catalogue.NameVersion
     ) -> catalogue.VersionReply:
-        """Name a version of an adapter; raises as ``replace_routes``."""
+        """Set a named version of an adapter.
+
+        Raises the same errors as :meth:`replace_routes`.
+        """
         return await self._propose(catalogue.Command(name_version=name))
 
     async def read_routes(self) -> str | None:
-        """Return the newest document of routes, None when there is none.
+        """Return the latest routes document, None when there is none.
+
+        The read is linearizable.
 
         Raises:
-            NotLeaderError: this replica can't be sure which is newest.
+            NotLeaderError: this replica could not confirm that it leads.
         """
         await self.node.confirm_lead(CONFIRM_TIMEOUT_S)
         return self.machine.routes_document
@@ -320,7 +338,7 @@
 
 
 class _EntryParticipant(control.Bystander):
-    """What the session of an entry says and hears."""
+    """Reports an entry's uses of targets and receives view changes."""
 
     def __init__(
         self,
@@ -339,20 +357,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BudgetSettings:
-    """How often requests may be sent a second time, over all daemons."""
+    """Budget for resending requests, shared by all daemons.
+
+    Args:
+        ratio: resends allowed for each request in the budget's window.
+        slack: resends allowed in addition, independent of the load.
+    """
 
     ratio: float = 0.1
     slack: float = 10.0
 
 
 class EntryPoint:
-    """An entry of callers' requests; an async context manager.
+    """An entry: forwards callers' requests to targets.
+
+    An async context manager that runs its background tasks.
 
     Args:
         caller_address: where callers reach this daemon.
-        changed: called when routes may have changed.
-        make_engine: gives the engine of a target, to be asked what it
-            holds while nobody leads.
+        changed: called when the routes may have changed.
+        make_engine: returns a client of a target's engine, to ask which
+            adapters it holds while there is no leader.
     """
 
     def __init__(
@@ -404,7 +429,7 @@
         def ask(
             info: control.TargetInfo,
         ) -> collections.abc.Awaitable[targets.AdapterReport]:
-            """Get the report of a target."""
+            """Fetch the engine report of a target."""
             instance = targets.Instance(
                 info.id, info.pool, info.address, info.datacentre
             )
@@ -446,19 +471,21 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether load balancers should route callers to this instance."""
         has_routes = self.session.view.routes.table.version > 0
         return has_routes and not self.stopping and not self._cut_off()
 
     def _cut_off(self) -> bool:
-        """Whether the leader was silent for longer than an election."""
+        """Whether the leader was silent for longer than an election takes."""
         return self.session.silent_s() > CUT_OFF_S
 
     def addresses(self, datacentre: str) -> list[str]:
-        """Return where callers of a data centre may connect.
+        """Return the addresses of entries for callers in a data centre.
 
-        Those of the data centre come first. When nothing is known, this
-        instance is all there is.
+        This instance comes first, then entries of the data centre, then the
+        others. This instance is left out while it stops, and while it has
+        no contact with the leader but knows other entries. If it knows no
+        other entry, the result is always its own address.
         """
         known = [
             info
@@ -472,13 +499,17 @@
         return found or [self._address]
 
     async def stop(self, kept_s: float, finish_s: float) -> None:
-        """Leave the look-ups, serve while callers keep old answers, end.
+        """Announce the shutdown, then drain requests.
+
+        Requests are accepted until the lookup results that callers cache
+        have expired.
 
         Args:
-            kept_s: how long callers keep an answer.
-            finish_s: after this long, end whatever still runs.
+            kept_s: how long callers cache a lookup result.
+            finish_s: return after this long in total, even if requests are
+                still active.
         """
-        logging.info("stop: Leaving the look-ups.")
+        logging.info("stop: Announcing shutdown.")
         self.stopping = True
         self.session.set_leaving()
         loop = asyncio.get_running_loop()
@@ -489,4 +520,6 @@
             if self.forwarder.active == 0:
                 break
             await asyncio.sleep(STOP_POLL_S)
-        logging.info("stop: Done. active=%d", self.forwarder.active)
+        logging.info(
+            "stop: Shutdown complete. active=%d", self.forwarder.active
+        )
--- a/libs/daemon/src/bergamotsail/daemon/_vitals.py
+++ b/libs/daemon/src/bergamotsail/daemon/_vitals.py
@@ -1,7 +1,7 @@
-"""What tells whether this process itself stood in its own way.
+"""Monitors the resource use of this process.
 
-How late its loop was, how much of a processor it used, how long it
-collected garbage, and how much memory it holds.
+Event loop lag, CPU time, garbage collection pauses and resident memory
+show whether a delay was caused by the process itself.
 """
 
 import collections
@@ -19,18 +19,18 @@
 from bergamotsail import wire
 
 SAMPLE_S = 0.1
-# Figures tell of the last second.
+# The sampling window is one second.
 SAMPLES = 10
 SAMPLES_PER_LINE = 10
-# A second whose worst lag is above this is worth a line.
+# A second whose largest lag exceeds this is logged.
 LATE_S = 0.1
-# A line on each kind of work costs an entry about 0.1 ms.
+# Interval of the event "work", which costs an entry about 0.1 ms.
 WORK_LINE_S = 5.0
 STATM = pathlib.Path("/proc/self/statm")
 
 
 class Collections:
-    """Pauses of the garbage collector; a context manager."""
+    """Sums the pauses of the garbage collector; a context manager."""
 
     def __init__(self) -> None:
         self.paused_s = 0.0
@@ -52,14 +52,15 @@
 
 
 class Vitals(quorum.Witness):
-    """Writes elections with the figures of this process; a context manager.
+    """Logs resource use of this process; an async context manager.
 
-    Enter it after the loop's lag. A line of its own tells of a second in
-    which the loop was late; each second's worst lag goes into the metrics.
-    Now and then a line tells what the process did, by kind of work.
+    Adds it to each election event. Once a second it records the largest
+    loop lag in the metrics, and logs an event if that exceeds LATE_S. Every
+    WORK_LINE_S it logs the work done, by kind.
 
     Args:
-        role: what the process is, for those lines.
+        lag: must be entered before this.
+        role: role of this process in those events.
     """
 
     def __init__(
@@ -90,11 +91,14 @@
         self._stack.close()
 
     def saw(self, what: str, fields: dict[str, object]) -> None:
-        """Write a line on an election."""
+        """Log an election event with the resource use of this process."""
         observe.log_event("quorum", what, **fields, **self.figures())
 
     def figures(self) -> dict[str, float | None]:
-        """Return the figures of the last second, and how long it was."""
+        """Return the resource use of the last second.
+
+        ``over_s`` is the exact length of the window.
+        """
         now, cpu_s, paused_s = self._sample()
         then = self._samples[0] if self._samples else (now, cpu_s, paused_s)
         return {
@@ -123,7 +127,11 @@
                 self._tell_work(over_s)
 
     def _tell_work(self, over_s: float) -> None:
-        """Write what this process did since the last such line."""
+        """Log the work done since the last such event.
+
+        Each kind maps to seconds of execution (waits excluded), messages,
+        bytes received and bytes sent.
+        """
         observe.log_event(
             "vitals",
             "work",
@@ -149,12 +157,12 @@
 
 
 def _resident_mb() -> float | None:
-    """Return the memory held, None where the system does not tell."""
+    """Return the resident memory in MB, None where it can't be read."""
     try:
         pages = int(STATM.read_text().split()[1])
     except (OSError, ValueError, IndexError) as error:
         logging.log_first_n(
-            logging.INFO, "vitals: No figure of memory. %s", 1, error
+            logging.INFO, "vitals: Resident memory is unknown: %s", 1, error
         )
         return None
     return round(pages * resource.getpagesize() / 1e6, 1)
