--- a/libs/daemon/src/bergamotsail/daemon/__init__.py
+++ b/libs/daemon/src/bergamotsail/daemon/__init__.py
@@ -1,7 +1,8 @@
-"""The daemon's parts put together, and its HTTP faces.
+"""Assembles the daemon from its components and serves it over HTTP.
 
-:class:`Daemon` is the whole of it behind the interfaces to the outside; the
-programs ``bergamotsaild`` and ``bergamotsail`` are thin around it.
+:class:`Daemon` contains the whole daemon and reaches external systems only
+through the interfaces passed to it. The program ``bergamotsaild`` is a thin
+wrapper around it; ``bergamotsail`` is its HTTP client.
 """
 
 from bergamotsail.daemon import _bounded_body
--- a/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
@@ -1,4 +1,4 @@
-"""What operators use: catalogue, history, status, metrics."""
+"""HTTP handlers for operators: catalogue, history, status, metrics."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryView:
-    """An entry as operators see it."""
+    """JSON form of a catalogue entry."""
 
     kind: str
     id: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetView:
-    """A target, its owner and its state."""
+    """JSON form of a target with its owner and fencing epoch."""
 
     info: control.TargetInfo
     owner: str | None
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusView:
-    """The state of the system as one daemon sees it."""
+    """JSON form of the system's state as one daemon knows it."""
 
     daemon: str
     fresh: bool
@@ -50,15 +50,16 @@
 
 
 class AdminHandler(_base_handler.BaseHandler):
-    """A handler that knows its operator."""
+    """Base class of handlers that authenticate an operator."""
 
     prefix = "admin"
 
     def operator(self) -> str:
-        """Authenticate the operator, in constant time.
+        """Authenticate the operator; compares tokens in constant time.
 
         Raises:
-            UnauthenticatedError: no token, or one of no operator.
+            UnauthenticatedError: the token is missing or belongs to no
+                operator.
         """
         header = self.request.headers.get("Authorization", "")
         digest = catalogue.hash_token(header.removeprefix("Bearer "))
@@ -69,20 +70,27 @@
                 found = operator
         if found is None:
             raise wire.UnauthenticatedError(
-                "Send an operator's token as Authorization: Bearer TOKEN."
+                "Missing or invalid token. Send an operator's token as "
+                "Authorization: Bearer TOKEN."
             )
         return found
 
     def kind(self, name: str) -> catalogue.Kind:
-        """Return the kind of a path."""
+        """Return the entry kind named in a path.
+
+        Raises:
+            NotFoundError: there is no such kind.
+        """
         try:
             return catalogue.Kind(name)
         except ValueError:
             kinds = ", ".join(catalogue.Kind)
-            raise wire.NotFoundError(f"Use one of {kinds}.") from None
+            raise wire.NotFoundError(
+                f"Unknown kind {name!r}. Use one of {kinds}."
+            ) from None
 
     def view(self) -> catalogue.View:
-        """Return the view, if it is surely in force."""
+        """Return the catalogue view; raises if this daemon's lease ended."""
         self.daemon.session.check_fresh()
         return self.daemon.session.view
 
@@ -95,7 +103,7 @@
     """Lists the entries of a kind."""
 
     async def get(self, kind: str) -> None:
-        """List the entries."""
+        """List the entries, sorted by id."""
         await self.serve(self._answer(kind))
 
     async def _answer(self, kind: str) -> None:
@@ -105,10 +113,10 @@
 
 
 class EntryHandler(AdminHandler):
-    """Gets, sets and deletes an entry."""
+    """Reads, sets and deletes an entry."""
 
     async def get(self, kind: str, entry_id: str) -> None:
-        """Get the entry and its revision."""
+        """Return the entry, with its revision as ETag."""
         await self.serve(self._get(kind, entry_id))
 
     async def put(self, kind: str, entry_id: str) -> None:
@@ -159,7 +167,7 @@
         text = match.strip('"')
         if not text.isdigit():
             raise wire.BadRequestError(
-                "Send If-Match with the revision that you read."
+                "If-Match must be the number of a revision."
             )
         return int(text)
 
@@ -167,7 +175,7 @@
         self, put: catalogue.Put, reply: catalogue.PutReply
     ) -> None:
         logging.info(
-            "admin: Change. operator=%s kind=%s id=%s operation=%s "
+            "admin: Catalogue change. operator=%s kind=%s id=%s operation=%s "
             "revision=%d refused=%s",
             put.operator,
             put.kind,
@@ -179,7 +187,7 @@
         if reply.conflict is not None:
             self.set_status(409)
             error = wire.ConflictError(
-                f"{reply.conflict} Read it again and decide anew."
+                f"{reply.conflict} Read the entry again before you retry."
             )
             current = None
             if reply.current is not None:
@@ -197,7 +205,7 @@
 
 
 class HistoryHandler(AdminHandler):
-    """Lists the latest changes, from a replica."""
+    """Lists the latest changes; only replicas keep them."""
 
     async def get(self) -> None:
         """List the changes."""
@@ -208,24 +216,26 @@
         machine = self.daemon.machine
         if machine is None:
             raise wire.NotFoundError(
-                "Ask a replica for the history.",
+                "Only replicas keep the history. Ask a replica.",
                 use=self.daemon.leader.address,
             )
         self.send_json(list(machine.changes))
 
 
 class WatchHandler(AdminHandler):
-    """Waits for a change after a revision."""
+    """Long poll for changes after a revision."""
 
     async def get(self) -> None:
-        """Answer once there is a change."""
+        """Respond with newer entries, or an empty list after a timeout."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
         self.operator()
         after = self.get_query_argument("after", "0")
         if not after.isdigit():
-            raise wire.BadRequestError("Send after=REVISION.")
+            raise wire.BadRequestError(
+                "The parameter after must be the number of a revision."
+            )
         waited_s = 0.0
         while waited_s < WATCH_FOR_S:
             found = [
@@ -247,7 +257,7 @@
     """Describes replicas, daemons, targets and ownership."""
 
     async def get(self) -> None:
-        """Describe the state."""
+        """Return the state; ``replicas`` is null without a leader."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
@@ -259,7 +269,10 @@
                 control.STATUS, control.Status(), STATUS_TIMEOUT_S
             )
         except wire.ServingError as error:
-            logging.info("admin: No leader. %s", error.message)
+            logging.info(
+                "admin: Status of the leader is unavailable: %s",
+                error.message,
+            )
         owned = session.view.ownership_by_target
         shown = []
         for info in session.digest.target_by_id.values():
@@ -280,10 +293,10 @@
 
 
 class MetricsHandler(AdminHandler):
-    """Gives the metrics, encoded for merging or readable."""
+    """Returns the metrics, encoded for merging or human-readable."""
 
     async def get(self) -> None:
-        """Give the metrics."""
+        """Return the metrics; ``form=readable`` selects the form."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
@@ -296,25 +309,27 @@
 
 
 class FormHandler(AdminHandler):
-    """Forms the replicated log of a new system, once."""
+    """Bootstraps the replicated log of a new system."""
 
     async def post(self) -> None:
-        """Form the log."""
+        """Bootstrap the log; fails if a replica already has one."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
         self.operator()
         if self.daemon.node is None:
-            raise wire.BadRequestError("Ask a replica to form the log.")
+            raise wire.BadRequestError(
+                "Only a replica can form the log. Ask a replica."
+            )
         await self.daemon.node.form()
         self.send_json({"formed": True})
 
 
 class DrainHandler(AdminHandler):
-    """Stops this daemon as planned, as SIGTERM does."""
+    """Shuts this daemon down gracefully, as SIGTERM does."""
 
     async def post(self) -> None:
-        """Start the planned stop."""
+        """Start the shutdown and respond at once."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
--- a/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
@@ -1,4 +1,4 @@
-"""What callers use: look-ups, models and plain services."""
+"""HTTP handlers for callers: lookups, completions and plain services."""
 
 import asyncio
 import contextlib
@@ -30,9 +30,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompletionBody:
-    """Body of the completion and chat API, as far as it is used.
+    """Body of a request to the completion or chat API.
 
-    Fields that are not named here are left alone.
+    Other fields of the API are accepted and ignored.
     """
 
     model: str
@@ -43,7 +43,7 @@
 
 
 class CallerHandler(_base_handler.BaseHandler):
-    """A handler that knows its caller's member."""
+    """Base class of handlers that authenticate a caller's member."""
 
     prefix = "entry"
 
@@ -51,7 +51,8 @@
         """Authenticate the caller.
 
         Raises:
-            UnauthenticatedError: no token, or one of no member.
+            UnauthenticatedError: the token is missing or belongs to no
+                member.
         """
         header = self.request.headers.get("Authorization", "")
         scheme, _, token = header.partition(" ")
@@ -61,49 +62,63 @@
         if scheme != "Bearer" or member is None:
             self.daemon.session.check_fresh()
             raise wire.UnauthenticatedError(
-                "Send your member's token as Authorization: Bearer TOKEN."
+                "Missing or invalid token. Send your member's token as "
+                "Authorization: Bearer TOKEN."
             )
         stored = view.member_by_id[member].value.token_sha256
         if not hmac.compare_digest(stored, digest):
-            raise wire.UnauthenticatedError("Send your member's token.")
+            raise wire.UnauthenticatedError("The member's token is invalid.")
         return routing.Caller(member)
 
     def request_id(self) -> str:
-        """Return the caller's request id, or a new one."""
+        """Return the caller's X-Request-Id, or a new id.
+
+        An id that is not printable ASCII of at most 128 characters is
+        replaced.
+        """
         given = self.request.headers.get("X-Request-Id", "")
         safe = given.isascii() and given.isprintable() and len(given) <= 128
         return given if given and safe else uuid.uuid4().hex
 
     def deadline_s(self) -> float:
-        """Return how long the caller waits at most."""
+        """Return the caller's time limit in seconds, capped by settings.
+
+        Raises:
+            BadRequestError: X-Deadline-Ms is not a positive whole number.
+        """
         limits = self.daemon.settings.http
         text = self.request.headers.get("X-Deadline-Ms")
         if text is None:
             return limits.default_deadline_s
         if not text.isdigit() or int(text) == 0:
             raise wire.BadRequestError(
-                "Send X-Deadline-Ms as a whole number of milliseconds."
+                "X-Deadline-Ms must be a positive whole number of "
+                "milliseconds."
             )
         return min(int(text) / 1000, limits.max_deadline_s)
 
     def entry_class(self) -> str | None:
-        """Return the class that the caller asks for."""
+        """Return the requested priority class, None if unspecified.
+
+        Raises:
+            BadRequestError: X-Priority names no class.
+        """
         text = self.request.headers.get("X-Priority")
         if text is None:
             return None
         allowed = [str(kind) for kind in catalogue.EntryClass]
         if text not in allowed:
             raise wire.BadRequestError(
-                f"Send X-Priority as one of {', '.join(allowed)}."
+                f"X-Priority must be one of {', '.join(allowed)}."
             )
         return text
 
 
 class HealthHandler(CallerHandler):
-    """Says whether this instance takes work."""
+    """Reports whether this instance accepts requests."""
 
     async def get(self) -> None:
-        """Answer 200 while work is taken."""
+        """Respond with 200 while requests are accepted."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
@@ -113,10 +128,10 @@
 
 
 class WhereHandler(CallerHandler):
-    """Says which addresses to use for a model or a service."""
+    """Returns the addresses to use for a model or a service."""
 
     async def get(self) -> None:
-        """Answer a look-up."""
+        """Look up the addresses."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
@@ -125,7 +140,9 @@
         model = self.get_query_argument("model", "")
         service = self.get_query_argument("service", "")
         if bool(model) == bool(service):
-            raise wire.BadRequestError("Send one of model and service.")
+            raise wire.BadRequestError(
+                "Send exactly one of the parameters model and service."
+            )
         adapter = ""
         if model:
             adapter = self.daemon.entry.resolve(caller, model)
@@ -134,10 +151,10 @@
 
 
 class ModelsHandler(CallerHandler):
-    """Lists what the caller's member may use."""
+    """Lists the model versions that the caller's member may use."""
 
     async def get(self) -> None:
-        """List models."""
+        """List the model versions."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
@@ -156,7 +173,7 @@
     """The completion and chat API."""
 
     async def post(self, kind: str) -> None:
-        """Answer a prompt, whole or streamed."""
+        """Complete a prompt, in one response or as a stream."""
         await self.serve(self._answer(kind == "chat/completions"))
 
     async def _answer(self, chat: bool) -> None:
@@ -177,12 +194,12 @@
     ) -> routing.Completion:
         if not 1 <= body.max_tokens <= MAX_TOKENS:
             raise wire.BadRequestError(
-                f"Send max_tokens from 1 to {MAX_TOKENS}."
+                f"max_tokens must be from 1 to {MAX_TOKENS}."
             )
         if chat and not body.messages:
-            raise wire.BadRequestError("Send messages, as a list.")
+            raise wire.BadRequestError("messages must be a non-empty list.")
         if not chat and body.prompt is None:
-            raise wire.BadRequestError("Send a prompt, as text.")
+            raise wire.BadRequestError("prompt is required, as a string.")
         text = wire.encode(body.messages).decode() if chat else body.prompt
         token = self.request.headers.get("Last-Event-ID")
         resume = None
@@ -213,7 +230,11 @@
         self.send_json(self._envelope(request, model, choice, chat, ""))
 
     async def _stream(self, parts, request: str, chat: bool) -> None:
-        """Send server-sent events; only a whole answer ends in [DONE]."""
+        """Send server-sent events.
+
+        A complete stream ends in ``[DONE]``, a failed one in an ``error``
+        event.
+        """
         started = False
         try:
             async for part in parts:
@@ -227,13 +248,17 @@
         except wire.ServingError as error:
             if not started:
                 raise
-            logging.info("entry: Broke off. request=%s %s", request, error)
+            logging.info("entry: Stream failed. request=%s %s", request, error)
             data = self.error_json(error)
             self.write(b"event: error\ndata: " + data + b"\n\n")
         self.finish()
 
     async def _flush_in_time(self) -> None:
-        """Send what was written, or give a caller up that does not read."""
+        """Flush the output.
+
+        Raises:
+            TimeoutError: the caller did not read it within ``write_s``.
+        """
         async with asyncio.timeout(self.daemon.settings.http.write_s):
             await self.flush()
 
@@ -263,7 +288,7 @@
 
 
 class ServiceHandler(CallerHandler):
-    """Passes HTTP calls on to a plain service."""
+    """Forwards HTTP calls to a plain service."""
 
     async def _any(self, service: str, path: str | None) -> None:
         await self.serve(self._answer(service, path or "/"))
@@ -301,7 +326,7 @@
 
 
 class UnknownHandler(CallerHandler):
-    """Answers routes that do not exist."""
+    """Responds with a typed error to unknown paths."""
 
     async def _any(self) -> None:
         await self.serve(self._answer())
@@ -309,4 +334,4 @@
     get = post = put = patch = delete = head = options = _any
 
     async def _answer(self) -> None:
-        raise wire.NotFoundError("There is no such route. See the README.")
+        raise wire.NotFoundError("Unknown path. See the README.")
--- a/libs/daemon/src/bergamotsail/daemon/_http_server.py
+++ b/libs/daemon/src/bergamotsail/daemon/_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP face of a daemon: callers, operators and peers apart."""
+"""The HTTP routes of a daemon for callers, operators and peers."""
 
 from tornado import web
 
@@ -10,7 +10,7 @@
 
 
 def application(daemon: _assembly.Daemon) -> web.Application:
-    """Return all routes of a daemon."""
+    """Return the web application of a daemon."""
     args = {"daemon": daemon}
     callers = _caller_handlers
     admin = _admin_handlers
--- a/libs/daemon/src/bergamotsail/daemon/_peer_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_handlers.py
@@ -1,4 +1,4 @@
-"""Calls from other daemons."""
+"""HTTP handler for calls from other daemons."""
 
 import contextlib
 import hmac
@@ -12,14 +12,14 @@
 
 
 class PeerHandler(_base_handler.BaseHandler):
-    """Answers a call of a peer."""
+    """Dispatches a peer's call to its handler."""
 
     prefix = "peer"
-    # The peer that is refused knows why, and says so where it matters.
+    # The refused peer gets the reason and logs it if it is relevant there.
     refusal_level = logging.DEBUG
 
     async def post(self, name: str) -> None:
-        """Answer the call of this name."""
+        """Handle the call of this name."""
         await self.serve(self._answer(name))
 
     async def _answer(self, name: str) -> None:
@@ -35,7 +35,7 @@
         self.send_json(await handler(message))
 
     async def _stream(self, replies) -> None:
-        """Send one line for each reply, then the end or a typed error."""
+        """Send one JSON line per reply, then an end or error line."""
         async with contextlib.aclosing(replies):
             try:
                 async for reply in replies:
@@ -47,7 +47,7 @@
         self.finish(wire.encode(last) + b"\n")
 
     def send_typed(self, error: wire.ServingError) -> None:
-        """Answer with the bare error, as peers read it."""
+        """Send the error without the envelope, the form that peers parse."""
         if not self._finished:
             self.set_status(error.status)
             self.finish(wire.encode(error.body()))
--- a/libs/daemon/src/bergamotsail/daemon/_process.py
+++ b/libs/daemon/src/bergamotsail/daemon/_process.py
@@ -1,4 +1,4 @@
-"""What every program does: listen at addresses, and stop when told to."""
+"""Helpers of daemon processes: listening sockets and stop signals."""
 
 import asyncio
 import collections.abc
@@ -11,12 +11,12 @@
 
 from bergamotsail.daemon import _bounded_body
 
-# Connections that wait to be accepted: all callers come back at once.
+# Listen backlog, large because all callers may reconnect at once.
 BACKLOG = 1024
 HEADER_BYTES = 64 * 1024
-# Idle connections of other daemons are kept for so long.
+# Idle timeout, long so that connections between daemons are kept.
 IDLE_S = 3600.0
-# The largest body of a call between daemons, a piece of a snapshot.
+# Limit of a call's body between daemons; snapshot pieces are the largest.
 PEER_BODY_BYTES = 64 * 1024 * 1024
 
 
@@ -28,7 +28,7 @@
     address: str,
     max_body: int = _bounded_body.BODY_BYTES,
 ) -> httpserver.HTTPServer:
-    """Serve an application at an address."""
+    """Serve an application, or a request callback, at HOST:PORT."""
     server = httpserver.HTTPServer(
         app,
         idle_connection_timeout=IDLE_S,
@@ -42,7 +42,7 @@
 
 
 async def told_to_stop() -> None:
-    """Return when the process is told to stop."""
+    """Wait for SIGTERM or SIGINT."""
     told = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/libs/daemon/src/bergamotsail/daemon/_quiet.py
+++ b/libs/daemon/src/bergamotsail/daemon/_quiet.py
@@ -1,12 +1,12 @@
-"""Web applications whose requests are logged as decisions only."""
+"""Web applications without an access log."""
 
 from tornado import web
 
 
 def quiet_application(routes: list[tuple]) -> web.Application:
-    """Return an application without tornado's line for each request."""
+    """Return an application without tornado's access log."""
     return web.Application(routes, log_function=_log_nothing)
 
 
 def _log_nothing(_: web.RequestHandler) -> None:
-    """Leave out tornado's line per request; decisions are logged."""
+    """Log nothing, as the components log their decisions themselves."""
--- a/libs/daemon/src/bergamotsail/daemon/cli.py
+++ b/libs/daemon/src/bergamotsail/daemon/cli.py
@@ -1,7 +1,7 @@
-"""The program ``bergamotsail``, for operators and callers.
+"""The command line tool ``bergamotsail`` for operators and callers.
 
-Exit codes: 0 done, 1 refused or failed, 2 used wrongly or bad settings,
-3 no instance could be reached, 4 the entry changed meanwhile.
+Exit codes: 0 success, 1 request refused or failed, 2 usage error or invalid
+input, 3 no instance responded, 4 conflict with the current state.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 RETRIES = 20
 
 _ADDRESSES = flags.DEFINE_list(
-    "addresses", [], "Addresses of instances, tried in order."
+    "addresses", [], "Addresses of instances, tried in this order."
 )
 _TOKEN = flags.DEFINE_string(
     "token", None, f"Token; ${TOKEN_VARIABLE} by default."
@@ -42,57 +42,63 @@
     "if_revision", None, "Change only if the entry is at this revision."
 )
 _OPERATION = flags.DEFINE_string(
-    "operation_id", None, "Name of the change, to send it again safely."
+    "operation_id", None, "Idempotency key of the change, to retry it safely."
+)
+_FILE = flags.DEFINE_string(
+    "file", "-", "File with JSON or JSON lines, - for standard input."
 )
-_FILE = flags.DEFINE_string("file", "-", "File with JSON, - for input.")
 _REQUEST = flags.DEFINE_string("request", None, "Explain this request only.")
-_REPORT = flags.DEFINE_string("report", None, "Write a page of HTML there.")
+_REPORT = flags.DEFINE_string(
+    "report", None, "Write an HTML report to this path."
+)
 _MAX_TOKENS = flags.DEFINE_integer("max_tokens", 16, "Tokens to generate.")
 
 USAGE = """Usage: bergamotsail COMMAND [ARGUMENTS] [--flags]
 
   catalogue list KIND            entries of a kind
   catalogue get KIND ID          one entry
-  catalogue apply KIND ID        set an entry from --file (- for input)
+  catalogue apply KIND ID        set an entry from --file
   catalogue load                 set many entries from --file, JSON lines
                                  of {"kind", "id", "value"}
   catalogue delete KIND ID       delete an entry
   catalogue history              latest changes
   status                         replicas, instances, targets, owners
   metrics                        metrics merged over --addresses
-  form                           form the log of a new system, once
-  drain                          stop the first of --addresses as planned
+  form                           bootstrap the log of a new system, once
+  drain                          shut down the first of --addresses
+                                 gracefully
   where model|service NAME       addresses that a caller should use
-  call MODEL PROMPT              ask a model and print the answer
+  call MODEL PROMPT              print a model's completion of a prompt
   check-settings FILE            check a daemon's settings
   explain-settings               what each setting means
-  explain LOG...                 where the time of requests went, from the
-                                 JSON logs of daemons; one request's lines
-                                 with --request; a page with --report
+  explain LOG...                 time spent per stage of requests, from the
+                                 JSON logs of daemons; the events of one
+                                 request with --request; an HTML report
+                                 with --report
 
 Kinds: member, pool, adapter, service.
 """
 
 
 class UsageError(Exception):
-    """The command line can't be understood."""
+    """The command line is invalid."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What an instance answered."""
+    """Status and decoded JSON body of a response."""
 
     status: int
     body: typing.Any
 
 
 class Remote:
-    """Talks to the first instance that answers."""
+    """Client that uses the first of --addresses that responds."""
 
     def __init__(self, http: wire.HttpClient) -> None:
         self._http = http
         if not _ADDRESSES.value:
-            raise UsageError("Name instances with --addresses.")
+            raise UsageError("Set --addresses to the addresses of instances.")
 
     async def ask(
         self,
@@ -101,7 +107,14 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Send a request; safe ones go on to the next instance."""
+        """Send a request to the first instance that responds.
+
+        After a connection error the next address is tried, whatever the
+        method.
+
+        Raises:
+            ServingError: no instance responded; the error of the last one.
+        """
         token = _TOKEN.value or os.environ.get(TOKEN_VARIABLE, "")
         request_headers = {"Authorization": f"Bearer {token}"}
         last: wire.ServingError | None = None
@@ -119,11 +132,11 @@
                 last = error
                 continue
             return Answer(reply.status, json.loads(reply.body or b"null"))
-        raise last or UsageError("Name instances with --addresses.")
+        raise last or UsageError("Set --addresses.")
 
 
 def _check(answer: Answer) -> typing.Any:
-    """Return the body of a good answer; end the program on another."""
+    """Return the body of a response; exit the program if it is an error."""
     if answer.status < 400:
         return answer.body
     error = answer.body["error"]
@@ -135,7 +148,7 @@
 
 
 def _print(value: typing.Any, rows: list[tuple], head: tuple) -> None:
-    """Print a table, or JSON on request."""
+    """Print *rows* as a table, or *value* as JSON with --json."""
     if _JSON.value:
         print(json.dumps(value))
         return
@@ -158,7 +171,7 @@
     }
     handler, count = handlers.get(action, (None, 0))
     if handler is None or len(rest) != count:
-        raise UsageError("See the usage of catalogue.")
+        raise UsageError("Unknown catalogue command or wrong arguments.")
     await handler(remote, *rest)
 
 
@@ -191,7 +204,11 @@
 async def _change(
     remote: Remote, method: str, kind: str, entry_id: str, body: bytes | None
 ) -> typing.Any:
-    """Make a change; a lost answer is asked for again, safely."""
+    """Send a change, with retries.
+
+    The operation id makes it idempotent, so a retry after a lost response
+    does not apply it twice.
+    """
     operation_id = _OPERATION.value or uuid.uuid4().hex
     headers = _change_headers(operation_id)
     path = f"/admin/v1/entries/{kind}/{entry_id}"
@@ -267,7 +284,7 @@
     )
     replicas = status["replicas"]
     if replicas is None:
-        print("No leader can be reached.")
+        print("No leader is reachable.")
     else:
         print(
             f"Leader {replicas['leader']}, term {replicas['term']}, commit "
@@ -342,7 +359,7 @@
 
 async def _where(remote: Remote, args: list[str]) -> None:
     if len(args) != 2 or args[0] not in ("model", "service"):
-        raise UsageError("Say where model NAME or where service NAME.")
+        raise UsageError("Expected: where model NAME or where service NAME.")
     query = urllib.parse.urlencode({args[0]: args[1]})
     answer = _check(await remote.ask("GET", f"/v1/where?{query}"))
     rows = [(address, answer["keep_s"]) for address in answer["addresses"]]
@@ -351,7 +368,7 @@
 
 async def _call(remote: Remote, args: list[str]) -> None:
     if len(args) != 2:
-        raise UsageError("Say call MODEL PROMPT.")
+        raise UsageError("Expected: call MODEL PROMPT.")
     body = {
         "model": args[0],
         "prompt": args[1],
@@ -390,9 +407,9 @@
 
 
 def _explain(paths: list[str]) -> int:
-    """Explain requests from the logs of daemons."""
+    """Print an analysis of requests from the logs of daemons."""
     if not paths:
-        raise UsageError("Name the logs to read.")
+        raise UsageError("Expected: explain LOG...")
     events = explain.read_events(pathlib.Path(path) for path in paths)
     if _REQUEST.value is not None:
         print("\n".join(explain.one_request(_REQUEST.value, events)))
@@ -436,7 +453,7 @@
         if name == "explain":
             return _explain(args)
         if name not in COMMANDS:
-            raise UsageError(f"There is no command {name!r}.")
+            raise UsageError(f"Unknown command {name!r}.")
         asyncio.run(_run_remote(name, args))
     except UsageError as error:
         print(f"{error}\n\n{USAGE}", file=sys.stderr)
@@ -445,13 +462,13 @@
         print(f"{error.code}: {error.message}", file=sys.stderr)
         return EXIT_UNREACHABLE
     except (OSError, ValueError, KeyError) as error:
-        print(f"The input can't be used: {error}", file=sys.stderr)
+        print(f"Invalid input: {error}", file=sys.stderr)
         return EXIT_USAGE
     return 0
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Run the program with the arguments of the command line."""
     app.run(_main)
 
 
--- a/libs/daemon/src/bergamotsail/daemon/main.py
+++ b/libs/daemon/src/bergamotsail/daemon/main.py
@@ -1,4 +1,4 @@
-"""The program ``bergamotsaild``."""
+"""Command line entry point of the daemon, ``bergamotsaild``."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 
 
 async def serve(settings: settings_lib.DaemonSettings) -> None:
-    """Run a daemon until it is told to stop."""
+    """Run a daemon until SIGTERM, SIGINT or a drain stops it."""
     async with contextlib.AsyncExitStack() as stack:
         http = stack.enter_context(wire.HttpClient())
         disk = None
@@ -58,7 +58,7 @@
         _http_server.application(daemon),
         idle_connection_timeout=limits.idle_s,
         body_timeout=limits.body_s,
-        # The handlers bound bodies themselves, to answer with a type.
+        # The handlers limit bodies themselves, to send a typed error.
         max_body_size=_bounded_body.SERVER_BODY_BYTES,
     )
     host, _, port = daemon.settings.address.rpartition(":")
@@ -81,15 +81,15 @@
         sys.exit(FAILED_EXIT)
     except OSError as error:
         print(
-            f"main: {error}. Check that {settings.address} is this "
-            "instance's and free, and that the data folder can be written.",
+            f"main: {error}. Check that {settings.address} is a free address "
+            "of this instance and that the data folder is writable.",
             file=sys.stderr,
         )
         sys.exit(FAILED_EXIT)
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Run the program with the arguments of the command line."""
     flags.mark_flag_as_required("settings")
     app.run(_main)
 
