--- a/libs/daemon/src/bergamotsail/daemon/__init__.py
+++ b/libs/daemon/src/bergamotsail/daemon/__init__.py
@@ -5,10 +5,10 @@
 wrapper around it; ``bergamotsail`` is its HTTP client.
 """
 
+from bergamotsail.daemon import _access_log
 from bergamotsail.daemon import _bounded_body
-from bergamotsail.daemon import _peer_face
+from bergamotsail.daemon import _peer_endpoint
 from bergamotsail.daemon import _process
-from bergamotsail.daemon import _quiet
 from bergamotsail.daemon import _roles
 from bergamotsail.daemon import _vitals
 from bergamotsail import wire
@@ -26,10 +26,10 @@
 PEER_BODY_BYTES = _process.PEER_BODY_BYTES
 listen = _process.listen
 told_to_stop = _process.told_to_stop
-LoopLag = _peer_face.LoopLag
-PeerFace = _peer_face.PeerFace
+LoopLag = _peer_endpoint.LoopLag
+PeerFace = _peer_endpoint.PeerFace
 Vitals = _vitals.Vitals
-quiet_application = _quiet.quiet_application
+quiet_application = _access_log.quiet_application
 
 __getattr__ = wire.lazy_names(
     __name__,
--- a/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
@@ -14,7 +14,7 @@
 from bergamotsail import wire
 
 WATCH_POLL_S = 0.1
-WATCH_FOR_S = 30.0
+WATCH_TIMEOUT_S = 30.0
 STATUS_TIMEOUT_S = 2.0
 
 
@@ -237,7 +237,7 @@
                 "The parameter after must be the number of a revision."
             )
         waited_s = 0.0
-        while waited_s < WATCH_FOR_S:
+        while waited_s < WATCH_TIMEOUT_S:
             found = [
                 _entry_view(entry)
                 for by_id in self.view().by_kind.values()
@@ -273,13 +273,13 @@
                 "admin: Status of the leader is unavailable: %s",
                 error.message,
             )
-        owned = session.view.ownership_by_target
-        shown = []
+        ownership_by_target = session.view.ownership_by_target
+        target_views = []
         for info in session.digest.target_by_id.values():
-            ownership = owned.get(info.id)
+            ownership = ownership_by_target.get(info.id)
             owner = ownership.owner if ownership is not None else None
             epoch = ownership.epoch if ownership is not None else 0
-            shown.append(TargetView(info, owner, epoch))
+            target_views.append(TargetView(info, owner, epoch))
         self.send_json(
             StatusView(
                 self.daemon.settings.name,
@@ -287,7 +287,7 @@
                 session.view.index,
                 self.daemon.stopping,
                 replicas,
-                tuple(sorted(shown, key=lambda view: view.info.id)),
+                tuple(sorted(target_views, key=lambda view: view.info.id)),
             )
         )
 
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -87,16 +87,16 @@
     """
 
     def __init__(
-        self, settings: settings_lib.DaemonSettings, outside: Outside
+        self, settings: settings_lib.DaemonSettings, dependencies: Outside
     ) -> None:
         self.settings = settings
         self.server = wire.PeerServer()
         self.metrics = observe.Metrics()
         self.stopping = False
         self.accepting = True
-        self._outside = outside
+        self._dependencies = dependencies
         self._stack = contextlib.AsyncExitStack()
-        self._stopped: asyncio.Task | None = None
+        self._shutdown_task: asyncio.Task | None = None
         self._stop_requested = asyncio.Event()
         self.node: quorum.Node | None = None
         self.machine: catalogue.CatalogueMachine | None = None
@@ -104,15 +104,15 @@
         lease = control.LeaseTiming(
             **dataclasses.asdict(settings.lease),
         )
-        if outside.disk is not None:
-            self._make_replica(outside.disk, lease)
+        if dependencies.disk is not None:
+            self._make_replica(dependencies.disk, lease)
         self._make_entry(lease)
 
     def _make_replica(
         self, disk: quorum.Disk, lease: control.LeaseTiming
     ) -> None:
         settings = self.settings
-        outside = self._outside
+        dependencies = self._dependencies
         self.machine = catalogue.CatalogueMachine()
         consensus = settings.consensus
         timing = quorum.Timing(
@@ -127,45 +127,50 @@
             settings.address,
             settings.replicas,
             quorum.Storage(disk),
-            outside.transport,
+            dependencies.transport,
             self.machine,
-            outside.rng,
+            dependencies.rng,
             timing,
-            outside.clock,
-            outside.steps,
+            dependencies.clock,
+            dependencies.steps,
         )
         self._coordinator = control.Coordinator(
             settings.address,
             self.node,
             self.machine,
-            outside.instances,
-            outside.transport,
+            dependencies.instances,
+            dependencies.transport,
             lease,
             settings.list_interval_s,
-            control.FloorRaiser(settings.claim_retention_s, outside.wall_s),
-            outside.clock,
-            outside.steps,
+            control.FloorRaiser(
+                settings.claim_retention_s, dependencies.wall_s
+            ),
+            dependencies.clock,
+            dependencies.steps,
         )
         self.node.serve(self.server)
         self._coordinator.serve(self.server)
 
     def _make_entry(self, lease: control.LeaseTiming) -> None:
         settings = self.settings
-        outside = self._outside
-        self.leader = control.Leader(outside.transport, settings.replicas)
-        boot = f"{settings.name}#{uuid.UUID(int=outside.rng.getrandbits(128))}"
+        dependencies = self._dependencies
+        self.leader = control.Leader(dependencies.transport, settings.replicas)
+        boot = (
+            f"{settings.name}#"
+            f"{uuid.UUID(int=dependencies.rng.getrandbits(128))}"
+        )
         info = control.DaemonInfo(
             settings.name, boot, settings.address, settings.datacentre
         )
         self.session = control.Session(
             info,
             self.leader,
-            outside.transport,
+            dependencies.transport,
             lease,
             self.node,
             self.machine,
-            outside.clock,
-            outside.steps,
+            dependencies.clock,
+            dependencies.steps,
         )
         self.admission = routing.Admission(
             lambda: self.session.view,
@@ -175,17 +180,17 @@
                 **dataclasses.asdict(settings.admission),
                 promised_s=settings.http.default_deadline_s + lease.lease_s,
             ),
-            outside.clock,
+            dependencies.clock,
         )
         self.owners = placement.Owners(
             self.session,
-            outside.make_engine,
+            dependencies.make_engine,
             placement.PlacementSettings(
                 **dataclasses.asdict(settings.placement)
             ),
             self.metrics,
-            outside.clock,
-            outside.steps,
+            dependencies.clock,
+            dependencies.steps,
         )
         self.owners.serve(self.server)
         self.session.attach(_Participant(self.admission, self.owners))
@@ -195,27 +200,27 @@
             self.session,
             self.admission,
             self.owners,
-            outside.transport,
+            dependencies.transport,
             routing.routing_named(settings.routing),
             self.metrics,
-            outside.clock,
+            dependencies.clock,
         )
         self.services = routing.ServiceRouter(
             self.session,
             self.admission,
-            outside.make_service,
+            dependencies.make_service,
             self.metrics,
-            outside.clock,
-            outside.steps,
-            outside.wall_s,
+            dependencies.clock,
+            dependencies.steps,
+            dependencies.wall_s,
         )
         self.where = routing.Where(self.session, settings.answer_keep_s)
 
     async def __aenter__(self) -> "Daemon":
-        parts = (self.node, self._coordinator, self.owners, self.session)
-        for part in parts:
-            if part is not None:
-                await self._stack.enter_async_context(part)
+        components = (self.node, self._coordinator, self.owners, self.session)
+        for component in components:
+            if component is not None:
+                await self._stack.enter_async_context(component)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -243,12 +248,12 @@
         admitted.
         """
         self.request_stop()
-        await asyncio.shield(self._stopped)
+        await asyncio.shield(self._shutdown_task)
 
     def request_stop(self) -> None:
         """Start a graceful shutdown unless one has started."""
-        if self._stopped is None:
-            self._stopped = asyncio.create_task(self._stop())
+        if self._shutdown_task is None:
+            self._shutdown_task = asyncio.create_task(self._stop())
         self._stop_requested.set()
 
     async def wait_stopped(self) -> None:
@@ -258,7 +263,7 @@
 
     async def _stop(self) -> None:
         """Hand over targets, drain requests, transfer leadership."""
-        clock = self._outside.clock
+        clock = self._dependencies.clock
         logging.info("stop: Announcing shutdown and handing over targets.")
         self.stopping = True
         self.session.set_leaving()
@@ -268,17 +273,19 @@
                 await self.owners.hand_over_all()
         # Callers may use a cached lookup result for this long, so requests
         # are admitted until it has expired.
-        kept_s = self.settings.answer_keep_s + self.settings.lease.heartbeat_s
-        await clock.sleep(max(0.0, started_at + kept_s - clock.now()))
+        lookup_ttl_s = (
+            self.settings.answer_keep_s + self.settings.lease.heartbeat_s
+        )
+        await clock.sleep(max(0.0, started_at + lookup_ttl_s - clock.now()))
         self.accepting = False
         logging.info("stop: Refusing new requests, draining active ones.")
         deadline = clock.now() + self.settings.stop.finish_s
-        while self._busy() and clock.now() < deadline:
+        while self._has_active_requests() and clock.now() < deadline:
             await clock.sleep(STOP_POLL_S)
         await self.services.settled()
         if self.node is not None:
             await self.node.transfer()
         logging.info("stop: Shutdown complete.")
 
-    def _busy(self) -> bool:
+    def _has_active_requests(self) -> bool:
         return self.admission.active > 0 or self.owners.active() > 0
--- a/libs/daemon/src/bergamotsail/daemon/_base_handler.py
+++ b/libs/daemon/src/bergamotsail/daemon/_base_handler.py
@@ -31,7 +31,7 @@
     def end_refused(self) -> None:
         """Send the error response for a refused body."""
         assert self.refused is not None
-        self.send_typed(self.refused)
+        self.send_error_response(self.refused)
 
     def on_connection_close(self) -> None:
         """Cancel the work for a caller that closed the connection."""
@@ -69,14 +69,16 @@
                 error.ran,
                 error.message,
             )
-            self.send_typed(error)
+            self.send_error_response(error)
         except Exception:
             logging.exception(
                 "%s: Unhandled exception in a request.", self.prefix
             )
-            self.send_typed(wire.InternalError("Internal error. See the log."))
+            self.send_error_response(
+                wire.InternalError("Internal error. See the log.")
+            )
 
-    def send_typed(self, error: wire.ServingError) -> None:
+    def send_error_response(self, error: wire.ServingError) -> None:
         """Send a typed error as the response, unless one is complete."""
         if self._finished:
             return
@@ -99,7 +101,7 @@
 
     def write_error(self, status_code: int, **_: typing.Any) -> None:
         """Replace tornado's own error pages by typed errors."""
-        self.send_typed(
+        self.send_error_response(
             wire.BadRequestError("Malformed request. See the README.")
             if status_code < 500
             else wire.InternalError("Internal error. See the log.")
--- a/libs/daemon/src/bergamotsail/daemon/_bounded_body.py
+++ b/libs/daemon/src/bergamotsail/daemon/_bounded_body.py
@@ -9,7 +9,7 @@
 # A refused body is read and discarded up to this size. Beyond it the
 # connection is closed, so that an endless body can't occupy the daemon, and
 # the caller may lose the error response.
-MOST_DROPPED_BYTES = 64 * 1024 * 1024
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024
 # Limit of tornado's server. It must never be reached, because the server
 # would close the connection before a handler can respond.
 SERVER_BODY_BYTES = 2**62
@@ -31,7 +31,7 @@
         """Initialize the buffer; call this in ``initialize``."""
         self.max_body_bytes = max_body_bytes
         self.refused: wire.ServingError | None = None
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size = 0
 
     def prepare(self) -> None:
@@ -39,21 +39,21 @@
         length = self.request.headers.get("Content-Length", "0")
         if length.isdigit() and int(length) > self.max_body_bytes:
             self._refuse()
-            if int(length) > MOST_DROPPED_BYTES:
+            if int(length) > MAX_DISCARDED_BYTES:
                 self.end_refused()
 
     def data_received(self, chunk: bytes) -> None:
         """Buffer a chunk of the body, up to the limit."""
         self._size += len(chunk)
         if self._size <= self.max_body_bytes and self.refused is None:
-            self._pieces.append(chunk)
+            self._chunks.append(chunk)
             return
         self._refuse()
-        if self._size > MOST_DROPPED_BYTES and not self._finished:
+        if self._size > MAX_DISCARDED_BYTES and not self._finished:
             self.end_refused()
 
     def _refuse(self) -> None:
-        self._pieces.clear()
+        self._chunks.clear()
         self.refused = wire.TooLargeError(
             f"Send a body of at most {self.max_body_bytes} bytes."
         )
@@ -65,8 +65,8 @@
     @property
     def body(self) -> bytes:
         """The buffered body."""
-        return b"".join(self._pieces)
+        return b"".join(self._chunks)
 
     def on_finish(self) -> None:
         """Free the buffer when the request has ended."""
-        self._pieces.clear()
+        self._chunks.clear()
--- a/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
@@ -17,7 +17,7 @@
 from bergamotsail import wire
 
 MAX_TOKENS = 100_000
-OWN_HEADERS = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "authorization",
         "host",
@@ -180,16 +180,16 @@
         caller = self.caller()
         self.daemon.check_accepting()
         body = wire.decode(self.body, CompletionBody)
-        completion = self._completion(caller, body, chat)
+        completion = self._make_completion(caller, body, chat)
         self.set_header("X-Request-Id", completion.request)
         parts = self.daemon.entry.complete(caller, completion)
         async with contextlib.aclosing(parts):
             if body.stream:
-                await self._stream(parts, completion.request, chat)
+                await self._send_stream(parts, completion.request, chat)
             else:
-                await self._whole(parts, completion.request, chat)
+                await self._send_whole(parts, completion.request, chat)
 
-    def _completion(
+    def _make_completion(
         self, caller: routing.Caller, body: CompletionBody, chat: bool
     ) -> routing.Completion:
         if not 1 <= body.max_tokens <= MAX_TOKENS:
@@ -214,7 +214,7 @@
             resume,
         )
 
-    async def _whole(self, parts, request: str, chat: bool) -> None:
+    async def _send_whole(self, parts, request: str, chat: bool) -> None:
         texts = []
         model = ""
         async for part in parts:
@@ -229,7 +229,7 @@
         choice = {"index": 0, "finish_reason": "stop", **content}
         self.send_json(self._envelope(request, model, choice, chat, ""))
 
-    async def _stream(self, parts, request: str, chat: bool) -> None:
+    async def _send_stream(self, parts, request: str, chat: bool) -> None:
         """Send server-sent events.
 
         A complete stream ends in ``[DONE]``, a failed one in an ``error``
@@ -242,8 +242,8 @@
                     self.set_header("Content-Type", "text/event-stream")
                     self.set_header("Cache-Control", "no-store")
                     started = True
-                self.write(self._event(part, request, chat))
-                await self._flush_in_time()
+                self.write(self._encode_event(part, request, chat))
+                await self._flush_with_timeout()
             self.write(b"data: [DONE]\n\n")
         except wire.ServingError as error:
             if not started:
@@ -253,7 +253,7 @@
             self.write(b"event: error\ndata: " + data + b"\n\n")
         self.finish()
 
-    async def _flush_in_time(self) -> None:
+    async def _flush_with_timeout(self) -> None:
         """Flush the output.
 
         Raises:
@@ -262,7 +262,9 @@
         async with asyncio.timeout(self.daemon.settings.http.write_s):
             await self.flush()
 
-    def _event(self, part: routing.Part, request: str, chat: bool) -> bytes:
+    def _encode_event(
+        self, part: routing.Part, request: str, chat: bool
+    ) -> bytes:
         reason = "stop" if part.end else None
         content = (
             {"delta": {"content": part.text}} if chat else {"text": part.text}
@@ -290,10 +292,10 @@
 class ServiceHandler(CallerHandler):
     """Forwards HTTP calls to a plain service."""
 
-    async def _any(self, service: str, path: str | None) -> None:
+    async def _handle(self, service: str, path: str | None) -> None:
         await self.serve(self._answer(service, path or "/"))
 
-    get = post = put = patch = delete = head = options = _any
+    get = post = put = patch = delete = head = options = _handle
 
     async def _answer(self, service: str, path: str) -> None:
         caller = self.caller()
@@ -302,9 +304,9 @@
         headers = {
             name: value
             for name, value in self.request.headers.get_all()
-            if name.lower() not in OWN_HEADERS
+            if name.lower() not in NOT_FORWARDED_HEADERS
         }
-        marked = self.request.headers.get("X-Non-Idempotent", "false")
+        non_idempotent = self.request.headers.get("X-Non-Idempotent", "false")
         call = routing.ServiceCall(
             self.request_id(),
             service,
@@ -314,7 +316,7 @@
             self.body,
             self.deadline_s(),
             self.request.headers.get("Idempotency-Key"),
-            marked.lower() == "true",
+            non_idempotent.lower() == "true",
         )
         result = await self.daemon.services.call(caller, call)
         self.set_status(result.status)
@@ -328,10 +330,10 @@
 class UnknownHandler(CallerHandler):
     """Responds with a typed error to unknown paths."""
 
-    async def _any(self) -> None:
+    async def _handle(self) -> None:
         await self.serve(self._answer())
 
-    get = post = put = patch = delete = head = options = _any
+    get = post = put = patch = delete = head = options = _handle
 
     async def _answer(self) -> None:
         raise wire.NotFoundError("Unknown path. See the README.")
--- a/libs/daemon/src/bergamotsail/daemon/_http_server.py
+++ b/libs/daemon/src/bergamotsail/daemon/_http_server.py
@@ -2,11 +2,11 @@
 
 from tornado import web
 
+from bergamotsail.daemon import _access_log
 from bergamotsail.daemon import _admin_handlers
 from bergamotsail.daemon import _assembly
 from bergamotsail.daemon import _caller_handlers
 from bergamotsail.daemon import _peer_handlers
-from bergamotsail.daemon import _quiet
 
 
 def application(daemon: _assembly.Daemon) -> web.Application:
@@ -31,4 +31,4 @@
         (r"/peer/v1/([a-z_]+)", _peer_handlers.PeerHandler, args),
         (r".*", callers.UnknownHandler, args),
     ]
-    return _quiet.quiet_application(routes)
+    return _access_log.quiet_application(routes)
--- a/libs/daemon/src/bergamotsail/daemon/_peer_face.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -21,12 +21,12 @@
 from bergamotsail import wire
 
 # Sampling interval of the event loop lag.
-LAG_POLL_S = 0.02
+LAG_SAMPLE_INTERVAL_S = 0.02
 # Maximum number and age of the samples that are kept.
-LAG_LOOKS = 50
+MAX_LAG_SAMPLES = 50
 LAG_WINDOW_S = 1.0
 # Minimum interval between log events about shed calls.
-SHED_LINE_S = 1.0
+SHED_LOG_INTERVAL_S = 1.0
 # Metric label of all calls without a handler.
 OTHER_CALLS = "other"
 NOT_FOUND = wire.NotFoundError("This address serves calls of daemons only.")
@@ -42,8 +42,8 @@
     def __init__(self, clock: wire.Clock = wire.LoopClock()) -> None:
         self.now_s = 0.0
         self._due_at = float("inf")
-        self._looks: collections.deque[tuple[float, float]]
-        self._looks = collections.deque(maxlen=LAG_LOOKS)
+        self._samples: collections.deque[tuple[float, float]]
+        self._samples = collections.deque(maxlen=MAX_LAG_SAMPLES)
         self._clock = clock
         self._background = wire.Background()
 
@@ -69,15 +69,15 @@
 
     def _recent(self) -> list[float]:
         since = self._clock.now() - LAG_WINDOW_S
-        return [lag_s for at, lag_s in self._looks if at >= since]
+        return [lag_s for at, lag_s in self._samples if at >= since]
 
     async def _watch(self) -> None:
         while True:
-            self._due_at = self._clock.now() + LAG_POLL_S
-            await self._clock.sleep(LAG_POLL_S)
+            self._due_at = self._clock.now() + LAG_SAMPLE_INTERVAL_S
+            await self._clock.sleep(LAG_SAMPLE_INTERVAL_S)
             now = self._clock.now()
             self.now_s = max(0.0, now - self._due_at)
-            self._looks.append((now, self.now_s))
+            self._samples.append((now, self.now_s))
 
 
 class PeerFace:
@@ -100,10 +100,10 @@
         self._token = token.encode()
         self._lag = lag
         self._tasks: set[asyncio.Task] = set()
-        self.shed = 0
+        self.shed_count = 0
         self._metrics = metrics or observe.Metrics()
-        self._shed_told = 0
-        self._tell_shed_at = float("-inf")
+        self._shed_logged = 0
+        self._next_shed_log_at = float("-inf")
 
     def __call__(self, request: httputil.HTTPServerRequest) -> None:
         """Handle a request; the HTTP server calls this."""
@@ -141,29 +141,32 @@
         message = wire.decode(body, call.request)
         if call.streams:
             observe.count_message(self._metrics, name, len(body))
-            await _stream(request, handler(message))
+            await _send_stream(request, handler(message))
             return
         reply = wire.encode(await handler(message))
         observe.count_message(self._metrics, name, len(body), len(reply))
         _send(request, http.client.OK, reply)
 
     def _check_lag(self, name: str) -> None:
-        most_s = self._server.shed_after_s.get(name)
-        if most_s is not None and self._lag.now_s > most_s:
-            self._note_shed(name)
+        max_lag_s = self._server.shed_after_s.get(name)
+        if max_lag_s is not None and self._lag.now_s > max_lag_s:
+            self._record_shed(name)
             raise wire.BehindError(
                 "This daemon is overloaded: its event loop lags. Retry.",
                 retry_after_s=self._lag.now_s,
             )
 
-    def _note_shed(self, name: str) -> None:
-        self.shed += 1
+    def _record_shed(self, name: str) -> None:
+        self.shed_count += 1
         self._metrics.count("calls_shed", call=name)
         now = time.monotonic()
-        if now < self._tell_shed_at:
+        if now < self._next_shed_log_at:
             return
-        self._tell_shed_at = now + SHED_LINE_S
-        count, self._shed_told = self.shed - self._shed_told, self.shed
+        self._next_shed_log_at = now + SHED_LOG_INTERVAL_S
+        count, self._shed_logged = (
+            self.shed_count - self._shed_logged,
+            self.shed_count,
+        )
         observe.log_event(
             "peer",
             "shed",
@@ -186,15 +189,15 @@
     )
     connection.set_close_callback(None)
     with contextlib.suppress(iostream.StreamClosedError):
-        connection.write_headers(_first_line(status), headers, body)
+        connection.write_headers(_start_line(status), headers, body)
         connection.finish()
 
 
-async def _stream(request: httputil.HTTPServerRequest, replies) -> None:
+async def _send_stream(request: httputil.HTTPServerRequest, replies) -> None:
     """Send one JSON line per reply, then an end or error line."""
     connection = request.connection
     headers = httputil.HTTPHeaders({"Content-Type": "application/json"})
-    await connection.write_headers(_first_line(http.client.OK), headers)
+    await connection.write_headers(_start_line(http.client.OK), headers)
     async with contextlib.aclosing(replies):
         try:
             async for reply in replies:
@@ -208,6 +211,6 @@
     connection.finish()
 
 
-def _first_line(status: int) -> httputil.ResponseStartLine:
+def _start_line(status: int) -> httputil.ResponseStartLine:
     reason = http.client.responses.get(status, "Unknown")
     return httputil.ResponseStartLine("HTTP/1.1", status, reason)
--- a/libs/daemon/src/bergamotsail/daemon/_peer_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_handlers.py
@@ -30,11 +30,11 @@
         call, handler = self.daemon.server.find(name)
         message = wire.decode(self.body, call.request)
         if call.streams:
-            await self._stream(handler(message))
+            await self._send_stream(handler(message))
             return
         self.send_json(await handler(message))
 
-    async def _stream(self, replies) -> None:
+    async def _send_stream(self, replies) -> None:
         """Send one JSON line per reply, then an end or error line."""
         async with contextlib.aclosing(replies):
             try:
@@ -46,7 +46,7 @@
                 last = {"error": error.body()}
         self.finish(wire.encode(last) + b"\n")
 
-    def send_typed(self, error: wire.ServingError) -> None:
+    def send_error_response(self, error: wire.ServingError) -> None:
         """Send the error without the envelope, the form that peers parse."""
         if not self._finished:
             self.set_status(error.status)
--- a/libs/daemon/src/bergamotsail/daemon/_process.py
+++ b/libs/daemon/src/bergamotsail/daemon/_process.py
@@ -26,15 +26,15 @@
         | collections.abc.Callable[[httputil.HTTPServerRequest], None]
     ),
     address: str,
-    max_body: int = _bounded_body.BODY_BYTES,
+    max_body_bytes: int = _bounded_body.BODY_BYTES,
 ) -> httpserver.HTTPServer:
     """Serve an application, or a request callback, at HOST:PORT."""
     server = httpserver.HTTPServer(
         app,
         idle_connection_timeout=IDLE_S,
         max_header_size=HEADER_BYTES,
-        max_body_size=max_body,
-        max_buffer_size=min(max_body, PEER_BODY_BYTES),
+        max_body_size=max_body_bytes,
+        max_buffer_size=min(max_body_bytes, PEER_BODY_BYTES),
     )
     host, _, port = address.rpartition(":")
     server.add_sockets(netutil.bind_sockets(int(port), host, backlog=BACKLOG))
@@ -43,8 +43,8 @@
 
 async def told_to_stop() -> None:
     """Wait for SIGTERM or SIGINT."""
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    await told.wait()
+        loop.add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -17,8 +17,8 @@
 
 from bergamotsail import catalogue
 from bergamotsail import control
-from bergamotsail.daemon import _peer_face
-from bergamotsail.daemon import _quiet
+from bergamotsail.daemon import _access_log
+from bergamotsail.daemon import _peer_endpoint
 from bergamotsail.daemon import _vitals
 from bergamotsail import observe
 from bergamotsail import placement
@@ -27,9 +27,9 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-FAILED_WAIT_S = 1.0
+DISK_FAILURE_POLL_S = 1.0
 STOP_POLL_S = 0.05
-CUT_OFF_S = 2.5
+MAX_LEADER_SILENCE_S = 2.5
 CONFIRM_TIMEOUT_S = 0.8
 PROPOSE_TIMEOUT_S = 3.0
 REPLICA_TIMING = quorum.Timing(
@@ -89,12 +89,12 @@
 ) -> wire.HttpPeerTransport:
     """Return a peer transport that counts the bytes of each call."""
 
-    def called(name: str, sent: int, received: int) -> None:
+    def on_call(name: str, sent: int, received: int) -> None:
         """Count an outgoing call, separately from incoming calls."""
         kind = f"call {name}"
         observe.count_message(metrics, kind, received=received, sent=sent)
 
-    return wire.HttpPeerTransport(http, token, called)
+    return wire.HttpPeerTransport(http, token, on_call)
 
 
 class MetricsHandler(web.RequestHandler):
@@ -114,7 +114,7 @@
 def metrics_application(metrics: observe.Metrics) -> web.Application:
     """Return an application that serves the metrics of this process."""
     routes = [(r"/metrics", MetricsHandler, {"metrics": metrics})]
-    return _quiet.quiet_application(routes)
+    return _access_log.quiet_application(routes)
 
 
 class _NodeLeadership(placement.Leadership):
@@ -145,7 +145,7 @@
         return await node.propose(wire.encode(command))
 
 
-class _LogNotes(placement.CopyNotes):
+class _LogCopyRegistry(placement.CopyNotes):
     """Persists adapter copies in the log, so that the next leader has them."""
 
     def __init__(
@@ -161,7 +161,7 @@
         await _propose(self._node, catalogue.Command(note_copies=note))
 
 
-class _LogHolders(placement.HolderNotes):
+class _LogHolderRegistry(placement.HolderNotes):
     """Persists in the log which instances gave orders to engines."""
 
     def __init__(
@@ -213,10 +213,10 @@
         metrics: observe.Metrics | None = None,
     ) -> None:
         self.server = wire.PeerServer()
-        self.lag = _peer_face.LoopLag(clock)
+        self.lag = _peer_endpoint.LoopLag(clock)
         self.metrics = metrics or observe.Metrics()
-        self.vitals = _vitals.Vitals(self.lag, self.metrics, clock)
-        self.peer_face = _peer_face.PeerFace(
+        self.process_monitor = _vitals.Vitals(self.lag, self.metrics, clock)
+        self.peer_face = _peer_endpoint.PeerFace(
             self.server, settings.peer_token, self.lag, self.metrics
         )
         self.machine = catalogue.CatalogueMachine()
@@ -239,7 +239,7 @@
                 else settings.domain
             ),
         )
-        self.node.witness = self.vitals
+        self.node.witness = self.process_monitor
         self.placer = placement.Placer(
             _NodeLeadership(self.node),
             lambda: self.machine.view,
@@ -250,9 +250,11 @@
             ),
             self.metrics,
             clock,
-            _LogNotes(self.node, self.machine),
+            _LogCopyRegistry(self.node, self.machine),
             settings=settings.places,
-            holder_notes=_LogHolders(settings.name, self.node, self.machine),
+            holder_notes=_LogHolderRegistry(
+                settings.name, self.node, self.machine
+            ),
             tenure=placement.Tenure(
                 settings.order_lease_s,
                 clock.now() if started_at is None else started_at,
@@ -277,9 +279,15 @@
         self._stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> "Replica":
-        parts = self.lag, self.vitals, self.node, self.coordinator, self.placer
-        for part in parts:
-            await self._stack.enter_async_context(part)
+        components = (
+            self.lag,
+            self.process_monitor,
+            self.node,
+            self.coordinator,
+            self.placer,
+        )
+        for component in components:
+            await self._stack.enter_async_context(component)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -288,7 +296,7 @@
     async def failed(self) -> None:
         """Wait until the disk fails; a restart then reads its contents."""
         while self.node.role is not quorum.Role.FAILED:
-            await asyncio.sleep(FAILED_WAIT_S)
+            await asyncio.sleep(DISK_FAILURE_POLL_S)
         logging.error("replica: Disk failure: %s", self.node.error)
 
     async def replace_routes(
@@ -343,16 +351,16 @@
     def __init__(
         self,
         places: routing.Places,
-        changed: collections.abc.Callable[[], None],
+        on_change: collections.abc.Callable[[], None],
     ) -> None:
         self._places = places
-        self._changed = changed
+        self._on_change = on_change
 
     def uses(self) -> tuple[control.Use, ...]:
         return self._places.uses()
 
     def view_changed(self) -> None:
-        self._changed()
+        self._on_change()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -375,7 +383,7 @@
 
     Args:
         caller_address: where callers reach this daemon.
-        changed: called when the routes may have changed.
+        on_change: called when the routes may have changed.
         make_engine: returns a client of a target's engine, to ask which
             adapters it holds while there is no leader.
     """
@@ -388,7 +396,7 @@
         transport: wire.PeerTransport,
         dialect: routing.Dialect,
         budget: BudgetSettings,
-        changed: collections.abc.Callable[[], None],
+        on_change: collections.abc.Callable[[], None],
         make_engine: collections.abc.Callable[
             [targets.Instance], targets.AdapterEngine
         ],
@@ -407,12 +415,12 @@
             peer_address=settings.address,
         )
         self.server = wire.PeerServer()
-        self.lag = _peer_face.LoopLag(clock)
-        self.peer_face = _peer_face.PeerFace(
+        self.lag = _peer_endpoint.LoopLag(clock)
+        self.peer_face = _peer_endpoint.PeerFace(
             self.server, settings.peer_token, self.lag, self.metrics
         )
         self.leader = control.Leader(transport, settings.seeds)
-        self.vitals = _vitals.Vitals(
+        self.process_monitor = _vitals.Vitals(
             self.lag, self.metrics, clock, role="entry"
         )
         self.session = control.Session(
@@ -426,7 +434,7 @@
             placement.RELEASE,
         )
 
-        def ask(
+        def fetch_report(
             info: control.TargetInfo,
         ) -> collections.abc.Awaitable[targets.AdapterReport]:
             """Fetch the engine report of a target."""
@@ -435,9 +443,9 @@
             )
             return make_engine(instance).report()
 
-        survey = routing.Survey(ask, wire.own_luck(settings.name))
+        survey = routing.Survey(fetch_report, wire.own_luck(settings.name))
         self._places = routing.Places(self.session, transport, clock, survey)
-        self.session.attach(_EntryParticipant(self._places, changed))
+        self.session.attach(_EntryParticipant(self._places, on_change))
         self._address = caller_address
         self.forwarder = routing.Forwarder(
             self.session,
@@ -461,7 +469,7 @@
 
     async def __aenter__(self) -> "EntryPoint":
         await self._stack.enter_async_context(self.lag)
-        await self._stack.enter_async_context(self.vitals)
+        await self._stack.enter_async_context(self.process_monitor)
         await self._stack.enter_async_context(self._places)
         await self._stack.enter_async_context(self.session)
         return self
@@ -473,11 +481,11 @@
     def ready(self) -> bool:
         """Whether load balancers should route callers to this instance."""
         has_routes = self.session.view.routes.table.version > 0
-        return has_routes and not self.stopping and not self._cut_off()
+        return has_routes and not self.stopping and not self._has_lost_leader()
 
-    def _cut_off(self) -> bool:
+    def _has_lost_leader(self) -> bool:
         """Whether the leader was silent for longer than an election takes."""
-        return self.session.silent_s() > CUT_OFF_S
+        return self.session.silent_s() > MAX_LEADER_SILENCE_S
 
     def addresses(self, datacentre: str) -> list[str]:
         """Return the addresses of entries for callers in a data centre.
@@ -493,20 +501,20 @@
             if not info.leaving and info.address != self._address
         ]
         known.sort(key=lambda info: info.datacentre != datacentre)
-        away = self.stopping or (known and self._cut_off())
-        mine = [] if away else [self._address]
-        found = mine + [info.address for info in known]
+        excluded = self.stopping or (known and self._has_lost_leader())
+        own = [] if excluded else [self._address]
+        found = own + [info.address for info in known]
         return found or [self._address]
 
-    async def stop(self, kept_s: float, finish_s: float) -> None:
+    async def stop(self, lookup_ttl_s: float, timeout_s: float) -> None:
         """Announce the shutdown, then drain requests.
 
         Requests are accepted until the lookup results that callers cache
         have expired.
 
         Args:
-            kept_s: how long callers cache a lookup result.
-            finish_s: return after this long in total, even if requests are
+            lookup_ttl_s: how long callers cache a lookup result.
+            timeout_s: return after this long in total, even if requests are
                 still active.
         """
         logging.info("stop: Announcing shutdown.")
@@ -514,9 +522,9 @@
         self.session.set_leaving()
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        await asyncio.sleep(kept_s)
+        await asyncio.sleep(lookup_ttl_s)
         self.accepting = False
-        while loop.time() < started_at + finish_s:
+        while loop.time() < started_at + timeout_s:
             if self.forwarder.active == 0:
                 break
             await asyncio.sleep(STOP_POLL_S)
--- a/libs/daemon/src/bergamotsail/daemon/_vitals.py
+++ b/libs/daemon/src/bergamotsail/daemon/_vitals.py
@@ -13,50 +13,50 @@
 
 from absl import logging
 
-from bergamotsail.daemon import _peer_face
+from bergamotsail.daemon import _peer_endpoint
 from bergamotsail import observe
 from bergamotsail import quorum
 from bergamotsail import wire
 
-SAMPLE_S = 0.1
+SAMPLE_INTERVAL_S = 0.1
 # The sampling window is one second.
-SAMPLES = 10
-SAMPLES_PER_LINE = 10
+WINDOW_SAMPLES = 10
+SAMPLES_PER_CHECK = 10
 # A second whose largest lag exceeds this is logged.
-LATE_S = 0.1
+LAG_LOG_THRESHOLD_S = 0.1
 # Interval of the event "work", which costs an entry about 0.1 ms.
 WORK_LINE_S = 5.0
 STATM = pathlib.Path("/proc/self/statm")
 
 
-class Collections:
+class GcPauses:
     """Sums the pauses of the garbage collector; a context manager."""
 
     def __init__(self) -> None:
         self.paused_s = 0.0
-        self._began_at = 0.0
+        self._gc_started_at = 0.0
 
-    def __enter__(self) -> "Collections":
-        gc.callbacks.append(self._seen)
+    def __enter__(self) -> "GcPauses":
+        gc.callbacks.append(self._on_gc)
         return self
 
     def __exit__(self, *_: object) -> None:
-        gc.callbacks.remove(self._seen)
+        gc.callbacks.remove(self._on_gc)
 
-    def _seen(self, phase: str, _: dict[str, int]) -> None:
+    def _on_gc(self, phase: str, _: dict[str, int]) -> None:
         now = time.perf_counter()
         if phase == "start":
-            self._began_at = now
+            self._gc_started_at = now
         else:
-            self.paused_s += now - self._began_at
+            self.paused_s += now - self._gc_started_at
 
 
 class Vitals(quorum.Witness):
     """Logs resource use of this process; an async context manager.
 
     Adds it to each election event. Once a second it records the largest
-    loop lag in the metrics, and logs an event if that exceeds LATE_S. Every
-    WORK_LINE_S it logs the work done, by kind.
+    loop lag in the metrics, and logs an event if that exceeds
+    LAG_LOG_THRESHOLD_S. Every WORK_LINE_S it logs the work done, by kind.
 
     Args:
         lag: must be entered before this.
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        lag: _peer_face.LoopLag,
+        lag: _peer_endpoint.LoopLag,
         metrics: observe.Metrics,
         clock: wire.Clock = wire.LoopClock(),
         role: str = "replica",
@@ -74,15 +74,15 @@
         self._lag = lag
         self._metrics = metrics
         self._clock = clock
-        self._collections = Collections()
+        self._gc_pauses = GcPauses()
         self._samples: collections.deque[tuple[float, float, float]]
-        self._samples = collections.deque(maxlen=SAMPLES)
+        self._samples = collections.deque(maxlen=WINDOW_SAMPLES)
         self._work = observe.WorkLog(metrics)
         self._background = wire.Background()
         self._stack = contextlib.ExitStack()
 
     async def __aenter__(self) -> "Vitals":
-        self._stack.enter_context(self._collections)
+        self._stack.enter_context(self._gc_pauses)
         self._background.start(self._watch)
         return self
 
@@ -92,41 +92,41 @@
 
     def saw(self, what: str, fields: dict[str, object]) -> None:
         """Log an election event with the resource use of this process."""
-        observe.log_event("quorum", what, **fields, **self.figures())
+        observe.log_event("quorum", what, **fields, **self.resource_use())
 
-    def figures(self) -> dict[str, float | None]:
+    def resource_use(self) -> dict[str, float | None]:
         """Return the resource use of the last second.
 
         ``over_s`` is the exact length of the window.
         """
         now, cpu_s, paused_s = self._sample()
-        then = self._samples[0] if self._samples else (now, cpu_s, paused_s)
+        oldest = self._samples[0] if self._samples else (now, cpu_s, paused_s)
         return {
             "lag_s": round(self._lag.worst_s(), 4),
             "lag_mean_s": round(self._lag.mean_s(), 4),
-            "over_s": round(now - then[0], 3),
-            "cpu_s": round(cpu_s - then[1], 4),
-            "collected_s": round(paused_s - then[2], 4),
+            "over_s": round(now - oldest[0], 3),
+            "cpu_s": round(cpu_s - oldest[1], 4),
+            "collected_s": round(paused_s - oldest[2], 4),
             "resident_mb": _resident_mb(),
         }
 
     def _sample(self) -> tuple[float, float, float]:
         now = self._clock.now()
-        return now, time.process_time(), self._collections.paused_s
+        return now, time.process_time(), self._gc_pauses.paused_s
 
     async def _watch(self) -> None:
-        told_at = self._clock.now()
+        logged_at = self._clock.now()
         while True:
-            for _ in range(SAMPLES_PER_LINE):
+            for _ in range(SAMPLES_PER_CHECK):
                 self._samples.append(self._sample())
-                await self._clock.sleep(SAMPLE_S)
-            self._tell()
-            over_s = self._clock.now() - told_at
+                await self._clock.sleep(SAMPLE_INTERVAL_S)
+            self._record_lag()
+            over_s = self._clock.now() - logged_at
             if over_s >= WORK_LINE_S:
-                told_at += over_s
-                self._tell_work(over_s)
+                logged_at += over_s
+                self._log_work(over_s)
 
-    def _tell_work(self, over_s: float) -> None:
+    def _log_work(self, over_s: float) -> None:
         """Log the work done since the last such event.
 
         Each kind maps to seconds of execution (waits excluded), messages,
@@ -149,11 +149,11 @@
             },
         )
 
-    def _tell(self) -> None:
+    def _record_lag(self) -> None:
         worst_s = self._lag.worst_s()
         self._metrics.record_s("loop_lag_worst", worst_s)
-        if worst_s > LATE_S:
-            observe.log_event("vitals", "late", **self.figures())
+        if worst_s > LAG_LOG_THRESHOLD_S:
+            observe.log_event("vitals", "late", **self.resource_use())
 
 
 def _resident_mb() -> float | None:
--- a/libs/daemon/src/bergamotsail/daemon/cli.py
+++ b/libs/daemon/src/bergamotsail/daemon/cli.py
@@ -28,7 +28,7 @@
 EXIT_UNREACHABLE = 3
 EXIT_CONFLICT = 4
 TOKEN_VARIABLE = "BERGAMOTSAIL_TOKEN"
-RETRY_PAUSE_S = 0.3
+RETRY_DELAY_S = 0.3
 RETRIES = 20
 
 _ADDRESSES = flags.DEFINE_list(
@@ -85,14 +85,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """Status and decoded JSON body of a response."""
 
     status: int
     body: typing.Any
 
 
-class Remote:
+class ApiClient:
     """Client that uses the first of --addresses that responds."""
 
     def __init__(self, http: wire.HttpClient) -> None:
@@ -100,13 +100,13 @@
         if not _ADDRESSES.value:
             raise UsageError("Set --addresses to the addresses of instances.")
 
-    async def ask(
+    async def send(
         self,
         method: str,
         path: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-    ) -> Answer:
+    ) -> Response:
         """Send a request to the first instance that responds.
 
         After a connection error the next address is tried, whatever the
@@ -117,7 +117,7 @@
         """
         token = _TOKEN.value or os.environ.get(TOKEN_VARIABLE, "")
         request_headers = {"Authorization": f"Bearer {token}"}
-        last: wire.ServingError | None = None
+        last_error: wire.ServingError | None = None
         for address in _ADDRESSES.value:
             request = wire.HttpRequest(
                 f"http://{address}{path}",
@@ -129,37 +129,39 @@
             try:
                 reply = await self._http.fetch(request)
             except wire.ServingError as error:
-                last = error
+                last_error = error
                 continue
-            return Answer(reply.status, json.loads(reply.body or b"null"))
-        raise last or UsageError("Set --addresses.")
+            return Response(reply.status, json.loads(reply.body or b"null"))
+        raise last_error or UsageError("Set --addresses.")
 
 
-def _check(answer: Answer) -> typing.Any:
+def _body_or_exit(response: Response) -> typing.Any:
     """Return the body of a response; exit the program if it is an error."""
-    if answer.status < 400:
-        return answer.body
-    error = answer.body["error"]
+    if response.status < 400:
+        return response.body
+    error = response.body["error"]
     print(f"{error['code']}: {error['message']}", file=sys.stderr)
     if error["code"] == "conflict":
-        print(json.dumps(answer.body.get("current")), file=sys.stderr)
+        print(json.dumps(response.body.get("current")), file=sys.stderr)
         sys.exit(EXIT_CONFLICT)
     sys.exit(EXIT_FAILED)
 
 
-def _print(value: typing.Any, rows: list[tuple], head: tuple) -> None:
+def _print_result(value: typing.Any, rows: list[tuple], header: tuple) -> None:
     """Print *rows* as a table, or *value* as JSON with --json."""
     if _JSON.value:
         print(json.dumps(value))
         return
-    table = [head, *rows]
-    widths = [max(len(str(row[i])) for row in table) for i in range(len(head))]
+    table = [header, *rows]
+    widths = [
+        max(len(str(row[i])) for row in table) for i in range(len(header))
+    ]
     for row in table:
         cells = (str(cell).ljust(w) for cell, w in zip(row, widths))
         print("  ".join(cells).rstrip())
 
 
-async def _catalogue(remote: Remote, args: list[str]) -> None:
+async def _catalogue(client: ApiClient, args: list[str]) -> None:
     action, *rest = args or [""]
     handlers = {
         "list": (_list, 1),
@@ -172,11 +174,13 @@
     handler, count = handlers.get(action, (None, 0))
     if handler is None or len(rest) != count:
         raise UsageError("Unknown catalogue command or wrong arguments.")
-    await handler(remote, *rest)
+    await handler(client, *rest)
 
 
-async def _list(remote: Remote, kind: str) -> None:
-    entries = _check(await remote.ask("GET", f"/admin/v1/entries/{kind}"))
+async def _list(client: ApiClient, kind: str) -> None:
+    entries = _body_or_exit(
+        await client.send("GET", f"/admin/v1/entries/{kind}")
+    )
     rows = [
         (
             entry["id"],
@@ -186,12 +190,12 @@
         )
         for entry in entries
     ]
-    _print(entries, rows, ("ID", "REVISION", "OWNER", "CLASS"))
+    _print_result(entries, rows, ("ID", "REVISION", "OWNER", "CLASS"))
 
 
-async def _get(remote: Remote, kind: str, entry_id: str) -> None:
+async def _get(client: ApiClient, kind: str, entry_id: str) -> None:
     path = f"/admin/v1/entries/{kind}/{entry_id}"
-    print(json.dumps(_check(await remote.ask("GET", path)), indent=2))
+    print(json.dumps(_body_or_exit(await client.send("GET", path)), indent=2))
 
 
 def _change_headers(operation_id: str) -> dict[str, str]:
@@ -202,7 +206,11 @@
 
 
 async def _change(
-    remote: Remote, method: str, kind: str, entry_id: str, body: bytes | None
+    client: ApiClient,
+    method: str,
+    kind: str,
+    entry_id: str,
+    body: bytes | None,
 ) -> typing.Any:
     """Send a change, with retries.
 
@@ -214,14 +222,14 @@
     path = f"/admin/v1/entries/{kind}/{entry_id}"
     for _ in range(RETRIES):
         try:
-            answer = await remote.ask(method, path, body, headers)
+            response = await client.send(method, path, body, headers)
         except wire.ServingError:
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             continue
-        if answer.status not in (421, 502, 503):
-            return _check(answer)
-        await asyncio.sleep(RETRY_PAUSE_S)
-    return _check(await remote.ask(method, path, body, headers))
+        if response.status not in (421, 502, 503):
+            return _body_or_exit(response)
+        await asyncio.sleep(RETRY_DELAY_S)
+    return _body_or_exit(await client.send(method, path, body, headers))
 
 
 def _read_file() -> str:
@@ -231,32 +239,32 @@
         return file.read()
 
 
-async def _apply(remote: Remote, kind: str, entry_id: str) -> None:
+async def _apply(client: ApiClient, kind: str, entry_id: str) -> None:
     body = _read_file().encode()
-    reply = await _change(remote, "PUT", kind, entry_id, body)
+    reply = await _change(client, "PUT", kind, entry_id, body)
     row = (kind, entry_id, reply["revision"])
-    _print(reply, [row], ("KIND", "ID", "REVISION"))
+    _print_result(reply, [row], ("KIND", "ID", "REVISION"))
 
 
-async def _load(remote: Remote) -> None:
+async def _load(client: ApiClient) -> None:
     lines = [line for line in _read_file().splitlines() if line.strip()]
     for number, line in enumerate(lines, 1):
         entry = json.loads(line)
         body = json.dumps(entry["value"]).encode()
-        await _change(remote, "PUT", entry["kind"], entry["id"], body)
+        await _change(client, "PUT", entry["kind"], entry["id"], body)
         if number % 100 == 0 or number == len(lines):
             print(f"{number} of {len(lines)} entries set", file=sys.stderr)
-    _print({"set": len(lines)}, [(len(lines),)], ("SET",))
+    _print_result({"set": len(lines)}, [(len(lines),)], ("SET",))
 
 
-async def _delete(remote: Remote, kind: str, entry_id: str) -> None:
-    reply = await _change(remote, "DELETE", kind, entry_id, None)
-    _print(reply, [(kind, entry_id)], ("KIND", "DELETED"))
+async def _delete(client: ApiClient, kind: str, entry_id: str) -> None:
+    reply = await _change(client, "DELETE", kind, entry_id, None)
+    _print_result(reply, [(kind, entry_id)], ("KIND", "DELETED"))
 
 
-async def _history(remote: Remote) -> None:
-    answer = await remote.ask("GET", "/admin/v1/history")
-    changes = _check(answer)
+async def _history(client: ApiClient) -> None:
+    response = await client.send("GET", "/admin/v1/history")
+    changes = _body_or_exit(response)
     rows = [
         (
             change["revision"],
@@ -268,12 +276,12 @@
         )
         for change in changes
     ]
-    head = ("REVISION", "OPERATOR", "WHAT", "KIND", "ID", "OPERATION")
-    _print(changes, rows, head)
+    header = ("REVISION", "OPERATOR", "WHAT", "KIND", "ID", "OPERATION")
+    _print_result(changes, rows, header)
 
 
-async def _status(remote: Remote, args: list[str]) -> None:
-    status = _check(await remote.ask("GET", "/admin/v1/status"))
+async def _status(client: ApiClient, args: list[str]) -> None:
+    status = _body_or_exit(await client.send("GET", "/admin/v1/status"))
     if _JSON.value:
         print(json.dumps(status))
         return
@@ -295,8 +303,8 @@
         print(f"Learners {', '.join(replicas['learners']) or 'none'}")
         print(f"Instances {len(replicas['daemons'])}")
     rows = [_target_row(target) for target in status["targets"]]
-    head = ("TARGET", "POOL", "STATE", "OWNER", "EPOCH", "ADAPTERS", "LOAD")
-    _print(status, rows, head)
+    header = ("TARGET", "POOL", "STATE", "OWNER", "EPOCH", "ADAPTERS", "LOAD")
+    _print_result(status, rows, header)
 
 
 def _target_row(target: dict[str, typing.Any]) -> tuple:
@@ -314,7 +322,7 @@
     )
 
 
-async def _metrics(remote: Remote, args: list[str]) -> None:
+async def _metrics(client: ApiClient, args: list[str]) -> None:
     with wire.HttpClient() as http:
         token = _TOKEN.value or os.environ.get(TOKEN_VARIABLE, "")
         snapshots = []
@@ -325,7 +333,7 @@
             )
             reply = await http.fetch(request)
             body = json.loads(reply.body)
-            _check(Answer(reply.status, body))
+            _body_or_exit(Response(reply.status, body))
             snapshots.append(wire.decode(reply.body, observe.MetricsSnapshot))
     shown = observe.readable(observe.merge(snapshots))
     rows = [
@@ -338,35 +346,35 @@
         )
         for name, values in shown.items()
     ]
-    _print(shown, rows, ("NAME", "COUNT", "P50 MS", "P99 MS", "MAX MS"))
+    _print_result(shown, rows, ("NAME", "COUNT", "P50 MS", "P99 MS", "MAX MS"))
 
 
-async def _form(remote: Remote, args: list[str]) -> None:
-    _print(
-        _check(await remote.ask("POST", "/admin/v1/form", b"")),
+async def _form(client: ApiClient, args: list[str]) -> None:
+    _print_result(
+        _body_or_exit(await client.send("POST", "/admin/v1/form", b"")),
         [("formed",)],
         ("LOG",),
     )
 
 
-async def _drain(remote: Remote, args: list[str]) -> None:
-    _print(
-        _check(await remote.ask("POST", "/admin/v1/drain", b"")),
+async def _drain(client: ApiClient, args: list[str]) -> None:
+    _print_result(
+        _body_or_exit(await client.send("POST", "/admin/v1/drain", b"")),
         [(_ADDRESSES.value[0],)],
         ("STOPPING",),
     )
 
 
-async def _where(remote: Remote, args: list[str]) -> None:
+async def _where(client: ApiClient, args: list[str]) -> None:
     if len(args) != 2 or args[0] not in ("model", "service"):
         raise UsageError("Expected: where model NAME or where service NAME.")
     query = urllib.parse.urlencode({args[0]: args[1]})
-    answer = _check(await remote.ask("GET", f"/v1/where?{query}"))
-    rows = [(address, answer["keep_s"]) for address in answer["addresses"]]
-    _print(answer, rows, ("ADDRESS", "KEEP S"))
+    response = _body_or_exit(await client.send("GET", f"/v1/where?{query}"))
+    rows = [(address, response["keep_s"]) for address in response["addresses"]]
+    _print_result(response, rows, ("ADDRESS", "KEEP S"))
 
 
-async def _call(remote: Remote, args: list[str]) -> None:
+async def _call(client: ApiClient, args: list[str]) -> None:
     if len(args) != 2:
         raise UsageError("Expected: call MODEL PROMPT.")
     body = {
@@ -374,13 +382,13 @@
         "prompt": args[1],
         "max_tokens": _MAX_TOKENS.value,
     }
-    answer = _check(
-        await remote.ask("POST", "/v1/completions", wire.encode(body))
+    response = _body_or_exit(
+        await client.send("POST", "/v1/completions", wire.encode(body))
     )
     if _JSON.value:
-        print(json.dumps(answer))
+        print(json.dumps(response))
         return
-    print(answer["choices"][0]["text"])
+    print(response["choices"][0]["text"])
 
 
 def _check_settings(path: str) -> int:
@@ -401,8 +409,8 @@
         (note.path, note.kind, note.default, note.allowed, note.note)
         for note in notes
     ]
-    head = ("SETTING", "TYPE", "DEFAULT", "ALLOWED", "MEANING")
-    _print([dataclasses.asdict(note) for note in notes], rows, head)
+    header = ("SETTING", "TYPE", "DEFAULT", "ALLOWED", "MEANING")
+    _print_result([dataclasses.asdict(note) for note in notes], rows, header)
     return 0
 
 
@@ -425,7 +433,7 @@
 COMMANDS: dict[
     str,
     collections.abc.Callable[
-        [Remote, list[str]], collections.abc.Awaitable[None]
+        [ApiClient, list[str]], collections.abc.Awaitable[None]
     ],
 ] = {
     "catalogue": _catalogue,
@@ -440,7 +448,7 @@
 
 async def _run_remote(name: str, args: list[str]) -> None:
     with wire.HttpClient() as http:
-        await COMMANDS[name](Remote(http), args)
+        await COMMANDS[name](ApiClient(http), args)
 
 
 def _main(argv: list[str]) -> int:
--- a/libs/daemon/src/bergamotsail/daemon/main.py
+++ b/libs/daemon/src/bergamotsail/daemon/main.py
@@ -33,14 +33,14 @@
         if settings.data_folder is not None:
             disk = quorum.FolderDisk(settings.data_folder)
             stack.callback(disk.close)
-        outside = _assembly.Outside(
+        dependencies = _assembly.Outside(
             wire.HttpPeerTransport(http, settings.peer_token),
             lambda address: targets.HttpEngine(http, address),
             lambda address: targets.HttpService(http, address),
             targets.HttpInstanceList(http, settings.instance_list),
             disk,
         )
-        daemon = _assembly.Daemon(settings, outside)
+        daemon = _assembly.Daemon(settings, dependencies)
         server = _listen(daemon)
         await stack.enter_async_context(daemon)
         logging.info("main: Serving at %s.", settings.address)
