--- a/libs/daemon/src/bergamotsail/daemon/cli.py
+++ b/libs/daemon/src/bergamotsail/daemon/cli.py
@@ -57,7 +57,7 @@
 
   catalogue list KIND            entries of a kind
   catalogue get KIND ID          one entry
-  catalogue apply KIND ID        set an entry from --file
+  catalogue apply KIND ID        set an entry from --file or stdin
   catalogue load                 set many entries from --file, JSON lines
                                  of {"kind", "id", "value"}
   catalogue delete KIND ID       delete an entry
