--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -49,14 +49,15 @@
         address: peer address, where other daemons reach this one.
         seeds: peer addresses of some replicas.
         peer_token: shared secret that authenticates daemons to each other.
-        order_quiet_s: how long a new leader waits before its first order;
-            0 where engines check fencing tokens.
+        order_quiet_s: how long a new leader waits before its
+            first order; 0 where engines check fencing tokens.
         order_lease_s: minimum age of this process's last order before it
             may give orders again, once another process may have given some.
         places: settings of the placement decisions.
-        borne_losses: number of simultaneous replica failures to tolerate,
-            including loss of their disks while all other replicas lose
-            power: acknowledged entries survive, and the log stays writable.
+        borne_losses: number of simultaneous replica failures to
+            tolerate, including loss of their disks while all other replicas
+            lose power: acknowledged entries survive, and the log stays
+            writable.
         domain: failure domain of this process; its data centre when None.
     """
 
--- a/libs/daemon/src/bergamotsail/daemon/_vitals.py
+++ b/libs/daemon/src/bergamotsail/daemon/_vitals.py
@@ -56,7 +56,8 @@
 
     Adds it to each election event. Once a second it records the largest
     loop lag in the metrics, and logs an event if that exceeds
-    LAG_LOG_THRESHOLD_S. Every WORK_LINE_S it logs the work done, by kind.
+    LAG_LOG_THRESHOLD_S. Every WORK_LINE_S it logs the work done,
+    by kind.
 
     Args:
         lag: must be entered before this.
