--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -1,4 +1,4 @@
-"""One daemon: its roles, wired together."""
+"""Builds one daemon from its components and runs its lifecycle."""
 
 import asyncio
 import collections.abc
@@ -25,13 +25,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outside:
-    """All that a daemon reaches outside itself.
+    """External dependencies of a daemon, replaceable in tests.
 
     Args:
-        make_engine: gives the engine at an address.
-        make_service: gives the plain service at an address.
-        disk: the data folder, None on a daemon without one.
-        wall_s: wall clock, used only to age idempotency keys.
+        make_engine: returns a client of the engine at an address.
+        make_service: returns a client of the plain service at an address.
+        disk: storage of the data folder; None on a daemon that keeps no
+            replica of the log.
+        wall_s: wall clock in seconds, used only to age idempotency keys.
     """
 
     transport: wire.PeerTransport
@@ -46,7 +47,7 @@
 
 
 class _Participant(control.Participant):
-    """Connects the session with admission and owners."""
+    """Forwards callbacks of the session to admission and target owners."""
 
     def __init__(
         self, admission: routing.Admission, owners: placement.Owners
@@ -80,19 +81,22 @@
 
 
 class Daemon:
-    """One ``bergamotsaild``; an async context manager that runs it."""
+    """The components of one ``bergamotsaild`` process.
+
+    An async context manager that runs their background tasks.
+    """
 
     def __init__(
-        self, settings: settings_lib.DaemonSettings, outside: Outside
+        self, settings: settings_lib.DaemonSettings, dependencies: Outside
     ) -> None:
         self.settings = settings
         self.server = wire.PeerServer()
         self.metrics = observe.Metrics()
         self.stopping = False
         self.accepting = True
-        self._outside = outside
+        self._dependencies = dependencies
         self._stack = contextlib.AsyncExitStack()
-        self._stopped: asyncio.Task | None = None
+        self._shutdown_task: asyncio.Task | None = None
         self._stop_requested = asyncio.Event()
         self.node: quorum.Node | None = None
         self.machine: catalogue.CatalogueMachine | None = None
@@ -100,15 +104,15 @@
         lease = control.LeaseTiming(
             **dataclasses.asdict(settings.lease),
         )
-        if outside.disk is not None:
-            self._make_replica(outside.disk, lease)
+        if dependencies.disk is not None:
+            self._make_replica(dependencies.disk, lease)
         self._make_entry(lease)
 
     def _make_replica(
         self, disk: quorum.Disk, lease: control.LeaseTiming
     ) -> None:
         settings = self.settings
-        outside = self._outside
+        dependencies = self._dependencies
         self.machine = catalogue.CatalogueMachine()
         consensus = settings.consensus
         timing = quorum.Timing(
@@ -123,45 +127,50 @@
             settings.address,
             settings.replicas,
             quorum.Storage(disk),
-            outside.transport,
+            dependencies.transport,
             self.machine,
-            outside.rng,
+            dependencies.rng,
             timing,
-            outside.clock,
-            outside.steps,
+            dependencies.clock,
+            dependencies.steps,
         )
         self._coordinator = control.Coordinator(
             settings.address,
             self.node,
             self.machine,
-            outside.instances,
-            outside.transport,
+            dependencies.instances,
+            dependencies.transport,
             lease,
             settings.list_interval_s,
-            control.FloorRaiser(settings.claim_retention_s, outside.wall_s),
-            outside.clock,
-            outside.steps,
+            control.FloorRaiser(
+                settings.claim_retention_s, dependencies.wall_s
+            ),
+            dependencies.clock,
+            dependencies.steps,
         )
         self.node.serve(self.server)
         self._coordinator.serve(self.server)
 
     def _make_entry(self, lease: control.LeaseTiming) -> None:
         settings = self.settings
-        outside = self._outside
-        self.leader = control.Leader(outside.transport, settings.replicas)
-        boot = f"{settings.name}#{uuid.UUID(int=outside.rng.getrandbits(128))}"
+        dependencies = self._dependencies
+        self.leader = control.Leader(dependencies.transport, settings.replicas)
+        boot = (
+            f"{settings.name}#"
+            f"{uuid.UUID(int=dependencies.rng.getrandbits(128))}"
+        )
         info = control.DaemonInfo(
             settings.name, boot, settings.address, settings.datacentre
         )
         self.session = control.Session(
             info,
             self.leader,
-            outside.transport,
+            dependencies.transport,
             lease,
             self.node,
             self.machine,
-            outside.clock,
-            outside.steps,
+            dependencies.clock,
+            dependencies.steps,
         )
         self.admission = routing.Admission(
             lambda: self.session.view,
@@ -171,17 +180,17 @@
                 **dataclasses.asdict(settings.admission),
                 promised_s=settings.http.default_deadline_s + lease.lease_s,
             ),
-            outside.clock,
+            dependencies.clock,
         )
         self.owners = placement.Owners(
             self.session,
-            outside.make_engine,
+            dependencies.make_engine,
             placement.PlacementSettings(
                 **dataclasses.asdict(settings.placement)
             ),
             self.metrics,
-            outside.clock,
-            outside.steps,
+            dependencies.clock,
+            dependencies.steps,
         )
         self.owners.serve(self.server)
         self.session.attach(_Participant(self.admission, self.owners))
@@ -191,34 +200,38 @@
             self.session,
             self.admission,
             self.owners,
-            outside.transport,
+            dependencies.transport,
             routing.routing_named(settings.routing),
             self.metrics,
-            outside.clock,
+            dependencies.clock,
         )
         self.services = routing.ServiceRouter(
             self.session,
             self.admission,
-            outside.make_service,
+            dependencies.make_service,
             self.metrics,
-            outside.clock,
-            outside.steps,
-            outside.wall_s,
+            dependencies.clock,
+            dependencies.steps,
+            dependencies.wall_s,
         )
         self.where = routing.Where(self.session, settings.answer_keep_s)
 
     async def __aenter__(self) -> "Daemon":
-        parts = (self.node, self._coordinator, self.owners, self.session)
-        for part in parts:
-            if part is not None:
-                await self._stack.enter_async_context(part)
+        components = (self.node, self._coordinator, self.owners, self.session)
+        for component in components:
+            if component is not None:
+                await self._stack.enter_async_context(component)
         return self
 
     async def __aexit__(self, *_: object) -> None:
         await self._stack.aclose()
 
     def check_accepting(self) -> None:
-        """Refuse a new request late in a planned stop."""
+        """Raise when a graceful shutdown no longer admits requests.
+
+        Raises:
+            StoppingError: with the address of another instance, if known.
+        """
         if self.accepting:
             return
         answer = self.where.look_up(self.settings.name)
@@ -229,43 +242,50 @@
         )
 
     async def stop(self) -> None:
-        """Stop as planned and cut nothing off; a second call joins in."""
+        """Shut down gracefully; concurrent calls wait for the same shutdown.
+
+        Requests get ``stop.finish_s`` to finish once no new ones are
+        admitted.
+        """
         self.request_stop()
-        await asyncio.shield(self._stopped)
+        await asyncio.shield(self._shutdown_task)
 
     def request_stop(self) -> None:
-        """Start a planned stop, if none has started."""
-        if self._stopped is None:
-            self._stopped = asyncio.create_task(self._stop())
+        """Start a graceful shutdown unless one has started."""
+        if self._shutdown_task is None:
+            self._shutdown_task = asyncio.create_task(self._stop())
         self._stop_requested.set()
 
     async def wait_stopped(self) -> None:
-        """Wait until a planned stop was asked for and is done."""
+        """Wait until a graceful shutdown is requested and completes."""
         await self._stop_requested.wait()
         await self.stop()
 
     async def _stop(self) -> None:
-        """Leave the look-ups, hand over, serve on, finish, sync."""
-        clock = self._outside.clock
-        logging.info("stop: Leaving the look-ups, handing targets over.")
+        """Hand over targets, drain requests, transfer leadership."""
+        clock = self._dependencies.clock
+        logging.info("stop: Announcing shutdown and handing over targets.")
         self.stopping = True
         self.session.set_leaving()
         started_at = clock.now()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.stop.finish_s):
                 await self.owners.hand_over_all()
-        # Callers may hold an old answer for this long and still come here.
-        kept_s = self.settings.answer_keep_s + self.settings.lease.heartbeat_s
-        await clock.sleep(max(0.0, started_at + kept_s - clock.now()))
+        # Callers may use a cached lookup result for this long, so requests
+        # are admitted until it has expired.
+        lookup_ttl_s = (
+            self.settings.answer_keep_s + self.settings.lease.heartbeat_s
+        )
+        await clock.sleep(max(0.0, started_at + lookup_ttl_s - clock.now()))
         self.accepting = False
-        logging.info("stop: Taking no more requests, finishing the rest.")
+        logging.info("stop: Refusing new requests, draining active ones.")
         deadline = clock.now() + self.settings.stop.finish_s
-        while self._busy() and clock.now() < deadline:
+        while self._has_active_requests() and clock.now() < deadline:
             await clock.sleep(STOP_POLL_S)
         await self.services.settled()
         if self.node is not None:
             await self.node.transfer()
-        logging.info("stop: Done.")
+        logging.info("stop: Shutdown complete.")
 
-    def _busy(self) -> bool:
+    def _has_active_requests(self) -> bool:
         return self.admission.active > 0 or self.owners.active() > 0
--- a/libs/daemon/src/bergamotsail/daemon/_http_server.py
+++ b/libs/daemon/src/bergamotsail/daemon/_http_server.py
@@ -1,16 +1,16 @@
-"""The HTTP face of a daemon: callers, operators and peers apart."""
+"""The HTTP routes of a daemon for callers, operators and peers."""
 
 from tornado import web
 
+from bergamotsail.daemon import _access_log
 from bergamotsail.daemon import _admin_handlers
 from bergamotsail.daemon import _assembly
 from bergamotsail.daemon import _caller_handlers
 from bergamotsail.daemon import _peer_handlers
-from bergamotsail.daemon import _quiet
 
 
 def application(daemon: _assembly.Daemon) -> web.Application:
-    """Return all routes of a daemon."""
+    """Return the web application of a daemon."""
     args = {"daemon": daemon}
     callers = _caller_handlers
     admin = _admin_handlers
@@ -31,4 +31,4 @@
         (r"/peer/v1/([a-z_]+)", _peer_handlers.PeerHandler, args),
         (r".*", callers.UnknownHandler, args),
     ]
-    return _quiet.quiet_application(routes)
+    return _access_log.quiet_application(routes)
--- a/libs/daemon/src/bergamotsail/daemon/_peer_face.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -1,9 +1,9 @@
-"""Calls from other daemons, straight on the web server.
+"""Serves calls from other daemons directly on tornado's HTTP server.
 
-Most of what a leading replica does is to answer short calls. Tornado's
-server is used without its framework of applications and handlers, which
-took a quarter of each call's time: 0.38 ms of processor instead of 0.52
-(3,000 place calls from 20 callers at once, beside other load).
+A leading replica spends most of its time on short calls. Without tornado's
+web framework (applications and handlers) a call takes about a quarter less
+CPU time: 0.38 ms instead of 0.52 ms, for 3,000 place calls from 20
+concurrent callers on a machine under other load.
 """
 
 import asyncio
@@ -20,26 +20,30 @@
 from bergamotsail import observe
 from bergamotsail import wire
 
-# How often the loop is asked how late it is.
-LAG_POLL_S = 0.02
-# How many looks are remembered, and for how long they count.
-LAG_LOOKS = 50
+# Sampling interval of the event loop lag.
+LAG_SAMPLE_INTERVAL_S = 0.02
+# Maximum number and age of the samples that are kept.
+MAX_LAG_SAMPLES = 50
 LAG_WINDOW_S = 1.0
-# Refused calls share a line for so long.
-SHED_LINE_S = 1.0
-# Calls that nobody serves here are counted together.
+# Minimum interval between log events about shed calls.
+SHED_LOG_INTERVAL_S = 1.0
+# Metric label of all calls without a handler.
 OTHER_CALLS = "other"
-NOT_FOUND = wire.NotFoundError("This address answers daemons only.")
+NOT_FOUND = wire.NotFoundError("This address serves calls of daemons only.")
 
 
 class LoopLag:
-    """How late the event loop is; an async context manager."""
+    """Measures the lag of the event loop; an async context manager.
+
+    The lag is how much later than requested the loop wakes a sleeping task.
+    ``now_s`` is the latest sample.
+    """
 
     def __init__(self, clock: wire.Clock = wire.LoopClock()) -> None:
         self.now_s = 0.0
         self._due_at = float("inf")
-        self._looks: collections.deque[tuple[float, float]]
-        self._looks = collections.deque(maxlen=LAG_LOOKS)
+        self._samples: collections.deque[tuple[float, float]]
+        self._samples = collections.deque(maxlen=MAX_LAG_SAMPLES)
         self._clock = clock
         self._background = wire.Background()
 
@@ -51,34 +55,38 @@
         await self._background.stop()
 
     def worst_s(self) -> float:
-        """Return the worst of the last second, with a look that is due."""
+        """Return the largest lag of the last second.
+
+        It includes the sample in progress, if that is overdue.
+        """
         overdue_s = self._clock.now() - self._due_at
         return max(0.0, overdue_s, *self._recent())
 
     def mean_s(self) -> float:
-        """Return the mean of the last second; it tells how busy it is."""
+        """Return the mean lag of the last second, a measure of load."""
         recent = self._recent()
         return sum(recent) / max(len(recent), 1)
 
     def _recent(self) -> list[float]:
         since = self._clock.now() - LAG_WINDOW_S
-        return [lag_s for at, lag_s in self._looks if at >= since]
+        return [lag_s for at, lag_s in self._samples if at >= since]
 
     async def _watch(self) -> None:
         while True:
-            self._due_at = self._clock.now() + LAG_POLL_S
-            await self._clock.sleep(LAG_POLL_S)
+            self._due_at = self._clock.now() + LAG_SAMPLE_INTERVAL_S
+            await self._clock.sleep(LAG_SAMPLE_INTERVAL_S)
             now = self._clock.now()
             self.now_s = max(0.0, now - self._due_at)
-            self._looks.append((now, self.now_s))
+            self._samples.append((now, self.now_s))
 
 
 class PeerFace:
-    """Answers requests of other daemons by the calls of a server.
+    """Dispatches requests of other daemons to the handlers of a server.
 
-    A call that its server lets wait (``shed_after_s``) is refused while the
-    loop is later than that, before it is read: what keeps the lead, such as
-    votes and entries of the log, then still finds time.
+    Sheds load: a call registered with ``shed_after_s`` is refused, before
+    its body is parsed, while the loop lag is larger than that. This leaves
+    time for the calls that keep the leader in office, such as votes and log
+    replication.
     """
 
     def __init__(
@@ -92,13 +100,13 @@
         self._token = token.encode()
         self._lag = lag
         self._tasks: set[asyncio.Task] = set()
-        self.shed = 0
+        self.shed_count = 0
         self._metrics = metrics or observe.Metrics()
-        self._shed_told = 0
-        self._tell_shed_at = float("-inf")
+        self._shed_logged = 0
+        self._next_shed_log_at = float("-inf")
 
     def __call__(self, request: httputil.HTTPServerRequest) -> None:
-        """Answer a request; the web server calls this."""
+        """Handle a request; the HTTP server calls this."""
         name = request.path.removeprefix(wire.PEER_PATH)
         if name not in self._server.by_name:
             name = OTHER_CALLS
@@ -112,12 +120,12 @@
         try:
             await self._answer_call(request)
         except iostream.StreamClosedError:
-            logging.debug("peer: Caller went away.")
+            logging.debug("peer: Caller closed the connection.")
         except wire.ServingError as error:
             _send(request, error.status, wire.encode(error.body()))
         except Exception:
-            logging.exception("peer: A call broke.")
-            error = wire.InternalError("Something broke here. See the log.")
+            logging.exception("peer: Unhandled exception in a call.")
+            error = wire.InternalError("Internal error. See the log.")
             _send(request, error.status, wire.encode(error.body()))
 
     async def _answer_call(self, request: httputil.HTTPServerRequest) -> None:
@@ -133,29 +141,32 @@
         message = wire.decode(body, call.request)
         if call.streams:
             observe.count_message(self._metrics, name, len(body))
-            await _stream(request, handler(message))
+            await _send_stream(request, handler(message))
             return
         reply = wire.encode(await handler(message))
         observe.count_message(self._metrics, name, len(body), len(reply))
         _send(request, http.client.OK, reply)
 
     def _check_lag(self, name: str) -> None:
-        most_s = self._server.shed_after_s.get(name)
-        if most_s is not None and self._lag.now_s > most_s:
-            self._note_shed(name)
+        max_lag_s = self._server.shed_after_s.get(name)
+        if max_lag_s is not None and self._lag.now_s > max_lag_s:
+            self._record_shed(name)
             raise wire.BehindError(
-                "This daemon is behind with its work. Ask again.",
+                "This daemon is overloaded: its event loop lags. Retry.",
                 retry_after_s=self._lag.now_s,
             )
 
-    def _note_shed(self, name: str) -> None:
-        self.shed += 1
+    def _record_shed(self, name: str) -> None:
+        self.shed_count += 1
         self._metrics.count("calls_shed", call=name)
         now = time.monotonic()
-        if now < self._tell_shed_at:
+        if now < self._next_shed_log_at:
             return
-        self._tell_shed_at = now + SHED_LINE_S
-        count, self._shed_told = self.shed - self._shed_told, self.shed
+        self._next_shed_log_at = now + SHED_LOG_INTERVAL_S
+        count, self._shed_logged = (
+            self.shed_count - self._shed_logged,
+            self.shed_count,
+        )
         observe.log_event(
             "peer",
             "shed",
@@ -168,7 +179,7 @@
 def _send(
     request: httputil.HTTPServerRequest, status: int, body: bytes
 ) -> None:
-    """Send a whole answer; one whose caller left is dropped."""
+    """Send a whole response; discard it if the connection is closed."""
     connection = request.connection
     headers = httputil.HTTPHeaders(
         {
@@ -178,15 +189,15 @@
     )
     connection.set_close_callback(None)
     with contextlib.suppress(iostream.StreamClosedError):
-        connection.write_headers(_first_line(status), headers, body)
+        connection.write_headers(_start_line(status), headers, body)
         connection.finish()
 
 
-async def _stream(request: httputil.HTTPServerRequest, replies) -> None:
-    """Send one line for each reply, then the end or a typed error."""
+async def _send_stream(request: httputil.HTTPServerRequest, replies) -> None:
+    """Send one JSON line per reply, then an end or error line."""
     connection = request.connection
     headers = httputil.HTTPHeaders({"Content-Type": "application/json"})
-    await connection.write_headers(_first_line(http.client.OK), headers)
+    await connection.write_headers(_start_line(http.client.OK), headers)
     async with contextlib.aclosing(replies):
         try:
             async for reply in replies:
@@ -200,6 +211,6 @@
     connection.finish()
 
 
-def _first_line(status: int) -> httputil.ResponseStartLine:
+def _start_line(status: int) -> httputil.ResponseStartLine:
     reason = http.client.responses.get(status, "Unknown")
     return httputil.ResponseStartLine("HTTP/1.1", status, reason)
--- a/libs/daemon/src/bergamotsail/daemon/_process.py
+++ b/libs/daemon/src/bergamotsail/daemon/_process.py
@@ -1,4 +1,4 @@
-"""What every program does: listen at addresses, and stop when told to."""
+"""Helpers of daemon processes: listening sockets and stop signals."""
 
 import asyncio
 import collections.abc
@@ -11,12 +11,12 @@
 
 from bergamotsail.daemon import _bounded_body
 
-# Connections that wait to be accepted: all callers come back at once.
+# Listen backlog, large because all callers may reconnect at once.
 BACKLOG = 1024
 HEADER_BYTES = 64 * 1024
-# Idle connections of other daemons are kept for so long.
+# Idle timeout, long so that connections between daemons are kept.
 IDLE_S = 3600.0
-# The largest body of a call between daemons, a piece of a snapshot.
+# Limit of a call's body between daemons; snapshot pieces are the largest.
 PEER_BODY_BYTES = 64 * 1024 * 1024
 
 
@@ -26,15 +26,15 @@
         | collections.abc.Callable[[httputil.HTTPServerRequest], None]
     ),
     address: str,
-    max_body: int = _bounded_body.BODY_BYTES,
+    max_body_bytes: int = _bounded_body.BODY_BYTES,
 ) -> httpserver.HTTPServer:
-    """Serve an application at an address."""
+    """Serve an application, or a request callback, at HOST:PORT."""
     server = httpserver.HTTPServer(
         app,
         idle_connection_timeout=IDLE_S,
         max_header_size=HEADER_BYTES,
-        max_body_size=max_body,
-        max_buffer_size=min(max_body, PEER_BODY_BYTES),
+        max_body_size=max_body_bytes,
+        max_buffer_size=min(max_body_bytes, PEER_BODY_BYTES),
     )
     host, _, port = address.rpartition(":")
     server.add_sockets(netutil.bind_sockets(int(port), host, backlog=BACKLOG))
@@ -42,9 +42,9 @@
 
 
 async def told_to_stop() -> None:
-    """Return when the process is told to stop."""
-    told = asyncio.Event()
+    """Wait for SIGTERM or SIGINT."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    await told.wait()
+        loop.add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
--- a/libs/daemon/src/bergamotsail/daemon/_vitals.py
+++ b/libs/daemon/src/bergamotsail/daemon/_vitals.py
@@ -1,7 +1,7 @@
-"""What tells whether this process itself stood in its own way.
+"""Monitors the resource use of this process.
 
-How late its loop was, how much of a processor it used, how long it
-collected garbage, and how much memory it holds.
+Event loop lag, CPU time, garbage collection pauses and resident memory
+show whether a delay was caused by the process itself.
 """
 
 import collections
@@ -13,58 +13,60 @@
 
 from absl import logging
 
-from bergamotsail.daemon import _peer_face
+from bergamotsail.daemon import _peer_endpoint
 from bergamotsail import observe
 from bergamotsail import quorum
 from bergamotsail import wire
 
-SAMPLE_S = 0.1
-# Figures tell of the last second.
-SAMPLES = 10
-SAMPLES_PER_LINE = 10
-# A second whose worst lag is above this is worth a line.
-LATE_S = 0.1
-# A line on each kind of work costs an entry about 0.1 ms.
+SAMPLE_INTERVAL_S = 0.1
+# The sampling window is one second.
+WINDOW_SAMPLES = 10
+SAMPLES_PER_CHECK = 10
+# A second whose largest lag exceeds this is logged.
+LAG_LOG_THRESHOLD_S = 0.1
+# Interval of the event "work", which costs an entry about 0.1 ms.
 WORK_LINE_S = 5.0
 STATM = pathlib.Path("/proc/self/statm")
 
 
-class Collections:
-    """Pauses of the garbage collector; a context manager."""
+class GcPauses:
+    """Sums the pauses of the garbage collector; a context manager."""
 
     def __init__(self) -> None:
         self.paused_s = 0.0
-        self._began_at = 0.0
+        self._gc_started_at = 0.0
 
-    def __enter__(self) -> "Collections":
-        gc.callbacks.append(self._seen)
+    def __enter__(self) -> "GcPauses":
+        gc.callbacks.append(self._on_gc)
         return self
 
     def __exit__(self, *_: object) -> None:
-        gc.callbacks.remove(self._seen)
+        gc.callbacks.remove(self._on_gc)
 
-    def _seen(self, phase: str, _: dict[str, int]) -> None:
+    def _on_gc(self, phase: str, _: dict[str, int]) -> None:
         now = time.perf_counter()
         if phase == "start":
-            self._began_at = now
+            self._gc_started_at = now
         else:
-            self.paused_s += now - self._began_at
+            self.paused_s += now - self._gc_started_at
 
 
 class Vitals(quorum.Witness):
-    """Writes elections with the figures of this process; a context manager.
+    """Logs resource use of this process; an async context manager.
 
-    Enter it after the loop's lag. A line of its own tells of a second in
-    which the loop was late; each second's worst lag goes into the metrics.
-    Now and then a line tells what the process did, by kind of work.
+    Adds it to each election event. Once a second it records the largest
+    loop lag in the metrics, and logs an event if that exceeds
+    LAG_LOG_THRESHOLD_S. Every WORK_LINE_S it logs the work done,
+    by kind.
 
     Args:
-        role: what the process is, for those lines.
+        lag: must be entered before this.
+        role: role of this process in those events.
     """
 
     def __init__(
         self,
-        lag: _peer_face.LoopLag,
+        lag: _peer_endpoint.LoopLag,
         metrics: observe.Metrics,
         clock: wire.Clock = wire.LoopClock(),
         role: str = "replica",
@@ -73,15 +75,15 @@
         self._lag = lag
         self._metrics = metrics
         self._clock = clock
-        self._collections = Collections()
+        self._gc_pauses = GcPauses()
         self._samples: collections.deque[tuple[float, float, float]]
-        self._samples = collections.deque(maxlen=SAMPLES)
+        self._samples = collections.deque(maxlen=WINDOW_SAMPLES)
         self._work = observe.WorkLog(metrics)
         self._background = wire.Background()
         self._stack = contextlib.ExitStack()
 
     async def __aenter__(self) -> "Vitals":
-        self._stack.enter_context(self._collections)
+        self._stack.enter_context(self._gc_pauses)
         self._background.start(self._watch)
         return self
 
@@ -90,40 +92,47 @@
         self._stack.close()
 
     def saw(self, what: str, fields: dict[str, object]) -> None:
-        """Write a line on an election."""
-        observe.log_event("quorum", what, **fields, **self.figures())
+        """Log an election event with the resource use of this process."""
+        observe.log_event("quorum", what, **fields, **self.resource_use())
 
-    def figures(self) -> dict[str, float | None]:
-        """Return the figures of the last second, and how long it was."""
+    def resource_use(self) -> dict[str, float | None]:
+        """Return the resource use of the last second.
+
+        ``over_s`` is the exact length of the window.
+        """
         now, cpu_s, paused_s = self._sample()
-        then = self._samples[0] if self._samples else (now, cpu_s, paused_s)
+        oldest = self._samples[0] if self._samples else (now, cpu_s, paused_s)
         return {
             "lag_s": round(self._lag.worst_s(), 4),
             "lag_mean_s": round(self._lag.mean_s(), 4),
-            "over_s": round(now - then[0], 3),
-            "cpu_s": round(cpu_s - then[1], 4),
-            "collected_s": round(paused_s - then[2], 4),
+            "over_s": round(now - oldest[0], 3),
+            "cpu_s": round(cpu_s - oldest[1], 4),
+            "collected_s": round(paused_s - oldest[2], 4),
             "resident_mb": _resident_mb(),
         }
 
     def _sample(self) -> tuple[float, float, float]:
         now = self._clock.now()
-        return now, time.process_time(), self._collections.paused_s
+        return now, time.process_time(), self._gc_pauses.paused_s
 
     async def _watch(self) -> None:
-        told_at = self._clock.now()
+        logged_at = self._clock.now()
         while True:
-            for _ in range(SAMPLES_PER_LINE):
+            for _ in range(SAMPLES_PER_CHECK):
                 self._samples.append(self._sample())
-                await self._clock.sleep(SAMPLE_S)
-            self._tell()
-            over_s = self._clock.now() - told_at
+                await self._clock.sleep(SAMPLE_INTERVAL_S)
+            self._record_lag()
+            over_s = self._clock.now() - logged_at
             if over_s >= WORK_LINE_S:
-                told_at += over_s
-                self._tell_work(over_s)
+                logged_at += over_s
+                self._log_work(over_s)
+
+    def _log_work(self, over_s: float) -> None:
+        """Log the work done since the last such event.
 
-    def _tell_work(self, over_s: float) -> None:
-        """Write what this process did since the last such line."""
+        Each kind maps to seconds of execution (waits excluded), messages,
+        bytes received and bytes sent.
+        """
         observe.log_event(
             "vitals",
             "work",
@@ -141,20 +150,20 @@
             },
         )
 
-    def _tell(self) -> None:
+    def _record_lag(self) -> None:
         worst_s = self._lag.worst_s()
         self._metrics.record_s("loop_lag_worst", worst_s)
-        if worst_s > LATE_S:
-            observe.log_event("vitals", "late", **self.figures())
+        if worst_s > LAG_LOG_THRESHOLD_S:
+            observe.log_event("vitals", "late", **self.resource_use())
 
 
 def _resident_mb() -> float | None:
-    """Return the memory held, None where the system does not tell."""
+    """Return the resident memory in MB, None where it can't be read."""
     try:
         pages = int(STATM.read_text().split()[1])
     except (OSError, ValueError, IndexError) as error:
         logging.log_first_n(
-            logging.INFO, "vitals: No figure of memory. %s", 1, error
+            logging.INFO, "vitals: Resident memory is unknown: %s", 1, error
         )
         return None
     return round(pages * resource.getpagesize() / 1e6, 1)
