--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -553,7 +553,7 @@
         await asyncio.sleep(0.01)
         if info.id not in version_by_target:
             raise wire.PeerLostError("It says nothing.")
-        held = targets.HeldAdapter(MODEL, "a1", version_by_target[info.id])
+        held = targets.ReportedAdapter(MODEL, "a1", version_by_target[info.id])
         return targets.AdapterReport((MODEL,), (held,), (), False, 1)
 
     async def run() -> tuple[list, list]:
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -107,7 +107,7 @@
     )
     index = catalogue.RouteIndex(table(route(splits=splits)))
     (only,) = index.table.routes
-    names = [index.pool_of(only, f"q{n}").name for n in range(2000)]
+    names = [index.choose_pool(only, f"q{n}").name for n in range(2000)]
     share = names.count("llm") / len(names)
     return [] if 0.07 < share < 0.13 else [f"llm got {share}"]
 
@@ -1510,12 +1510,12 @@
     (
         "send tables as text",
         "many_routes_over_small_links",
-        (catalogue.Effect, "packed", lambda effect: effect),
+        (catalogue.Effect, "compressed", lambda effect: effect),
     ),
     (
         "send versions that are void",
         "many_routes_over_small_links",
-        (catalogue.CatalogueMachine, "_drop_void", lambda *_: None),
+        (catalogue.CatalogueMachine, "_drop_superseded", lambda *_: None),
     ),
     (
         "tell two candidates that they would win",
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -97,8 +97,8 @@
             absent or head.status == 503,
             absent,
             True,
-            targets.read_flag(head.all(LEAVING)),
-            targets.read_seconds(head.all(PAUSE)),
+            targets.parse_flag(head.all(LEAVING)),
+            targets.parse_seconds(head.all(PAUSE)),
         )
 
 
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -74,17 +74,17 @@
         self.model_at = 0.0
         self.fetching = False
         self._on_disk = False
-        self.born_ms: int | None = None
+        self.start_time_ms: int | None = None
         self._start = 0
         self._note()
 
-    def restart(self, born_ms: int | None) -> None:
+    def restart(self, start_time_ms: int | None) -> None:
         """Start anew under the same name, empty.
 
         Orders that were left unanswered may still be carried out.
         """
         self._start += 1
-        self.born_ms = born_ms
+        self.start_time_ms = start_time_ms
         self.sequence = 0
         self._fence = 0
         for held in (self.ready, self.pending, self.running):
@@ -236,9 +236,11 @@
             self._note()
 
     def _note(self) -> None:
-        def held(adapters: dict[str, int]) -> tuple[targets.HeldAdapter, ...]:
+        def held(
+            adapters: dict[str, int],
+        ) -> tuple[targets.ReportedAdapter, ...]:
             return tuple(
-                targets.HeldAdapter(MODEL, name, version)
+                targets.ReportedAdapter(MODEL, name, version)
                 for name, version in adapters.items()
             )
 
@@ -250,7 +252,7 @@
             self.sequence,
             running=sum(self.running.values()),
             at_hand=(MODEL,) if self._on_disk else (),
-            born_ms=self.born_ms,
+            start_time_ms=self.start_time_ms,
         )
         try:
             now = asyncio.get_running_loop().time()
--- a/libs/catalogue/src/bergamotsail/catalogue/_machine.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_machine.py
@@ -15,7 +15,7 @@
 MAX_CHANGES = 2_000
 MAX_EFFECTS = 4_000
 # Adapter copies remembered for each engine; an engine stores about as many.
-KEPT_COPIES = 64
+MAX_COPIES_PER_ENGINE = 64
 # Instances that have given orders to engines. Dropping the oldest is unsafe
 # only if it gives orders again within one lease, during which this many
 # others would have had to take over.
@@ -328,7 +328,7 @@
         for copies in note.copies:
             known = self.copies_by_target.get(copies.target, ())
             older = [name for name in known if name not in copies.names]
-            names = (*older, *copies.names)[-KEPT_COPIES:]
+            names = (*older, *copies.names)[-MAX_COPIES_PER_ENGINE:]
             self.copies_by_target[copies.target] = names
 
     def _take_orders(self, take: _commands.TakeOrders) -> None:
@@ -351,17 +351,19 @@
         text = wire.encode(value).decode()
         effect = _view.Effect(index, kind, entry_id, text)
         self._apply_effect(effect)
-        self._drop_void((kind, entry_id), index)
+        self._drop_superseded((kind, entry_id), index)
 
     def _apply_effect(self, effect: _view.Effect) -> None:
         self.view.apply(effect)
-        self._effect_by_index[effect.index] = effect.packed()
+        self._effect_by_index[effect.index] = effect.compressed()
         while len(self._effect_by_index) > MAX_EFFECTS:
             oldest = next(iter(self._effect_by_index))
             del self._effect_by_index[oldest]
             self._last_dropped_index = oldest
 
-    def _drop_void(self, key: tuple[_entries.Kind, str], index: int) -> None:
+    def _drop_superseded(
+        self, key: tuple[_entries.Kind, str], index: int
+    ) -> None:
         """Drop the effect that the one at *index* supersedes.
 
         No other entry is validated against or looked up through a versioned
--- a/libs/catalogue/src/bergamotsail/catalogue/_view.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_view.py
@@ -74,7 +74,7 @@
         """
         return len(self.value or "") + len(self.deflated or b"") * 4 // 3
 
-    def packed(self) -> "Effect":
+    def compressed(self) -> "Effect":
         """Return this effect with a long value compressed."""
         if self.value is None or len(self.value) < COMPRESS_MIN_CHARS:
             return self
@@ -82,7 +82,7 @@
         return dataclasses.replace(self, value=None, deflated=deflated)
 
 
-def parts_of(
+def split_effect(
     effect: Effect, max_bytes: int
 ) -> collections.abc.Iterator[Effect]:
     """Split an effect with a long compressed value.
@@ -101,8 +101,8 @@
         )
 
 
-class Joiner:
-    """Reassembles effects that were split by :func:`parts_of`."""
+class EffectAssembler:
+    """Reassembles effects that were split by :func:`split_effect`."""
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []
@@ -176,7 +176,7 @@
         return self.by_kind[_entries.Kind.QUARANTINE]
 
     @property
-    def held_requests(self) -> frozenset[str]:
+    def blocked_request_ids(self) -> frozenset[str]:
         """Identities of quarantined requests that are refused now."""
         entries = self.quarantine_by_id.values()
         return frozenset(e.id for e in entries if e.value.held)
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -254,8 +254,8 @@
             effects = self._machine.view.effects()
         batch: list[catalogue.Effect] = []
         for effect in effects:
-            *parts, last = catalogue.parts_of(
-                effect.packed(), STATE_PART_BYTES
+            *parts, last = catalogue.split_effect(
+                effect.compressed(), STATE_PART_BYTES
             )
             for part in parts:
                 yield _messages.StatePiece(index, (*batch, part), whole)
@@ -622,10 +622,10 @@
         finally:
             self._publish_fleet(term)
 
-    def _record_restart(self, target: str, born_ms: int) -> None:
+    def _record_restart(self, target: str, start_time_ms: int) -> None:
         """Record a restart that the target itself reported."""
         term = self._current_term()
-        start = term.fleet.started(target, born_ms)
+        start = term.fleet.started(target, start_time_ms)
         observe.log_event("list", "new_start", target=target, now=start)
         self._publish_fleet(term)
 
--- a/libs/control/src/bergamotsail/control/_fleet.py
+++ b/libs/control/src/bergamotsail/control/_fleet.py
@@ -16,9 +16,9 @@
 
     Args:
         leaving: the instance list shows it as leaving, or not at all.
-        born_ms: start time in milliseconds of Unix time, None if unknown.
-            It may be missing from the id of the instance if it was learned
-            later.
+        start_time_ms: start time in milliseconds of Unix time, None if
+            unknown. It may be missing from the id of the instance if it was
+            learned later.
         missing_since: when it disappeared from the list.
         said_leaving: it reported itself that it is leaving; the list may
             show that later.
@@ -26,7 +26,7 @@
 
     instance: targets.Instance
     leaving: bool
-    born_ms: int | None
+    start_time_ms: int | None
     missing_since: float | None = None
     said_leaving: bool = False
 
@@ -49,10 +49,10 @@
     def remember(self, instance: targets.Instance, leaving: bool) -> None:
         """Add a target, or replace what is known of it."""
         start = targets.Incarnation.of(instance.id)
-        known = _TrackedTarget(instance, leaving, start.born_ms)
+        known = _TrackedTarget(instance, leaving, start.start_time_ms)
         self._tracked_by_name[start.name] = known
 
-    def started(self, target: str, born_ms: int) -> str:
+    def started(self, target: str, start_time_ms: int) -> str:
         """Record a restart that a target reported itself.
 
         Args:
@@ -67,8 +67,10 @@
         if known is None:
             return target
         if known.instance.id == target:
-            known.instance = _with_start_time(known.instance, name, born_ms)
-            known.born_ms = born_ms
+            known.instance = _with_start_time(
+                known.instance, name, start_time_ms
+            )
+            known.start_time_ms = start_time_ms
             known.said_leaving = False
         return known.instance.id
 
@@ -119,7 +121,7 @@
             self.remember(instance, leaving)
             return
         known.missing_since = None
-        listed_ms, known_ms = start.born_ms, known.born_ms
+        listed_ms, known_ms = start.start_time_ms, known.start_time_ms
         if (
             listed_ms is not None
             and known_ms is not None
@@ -128,11 +130,11 @@
             return
         if listed_ms is None or known_ms is None or listed_ms == known_ms:
             instance = dataclasses.replace(instance, id=known.instance.id)
-        born_ms = known_ms if listed_ms is None else listed_ms
+        start_time_ms = known_ms if listed_ms is None else listed_ms
         same = instance.id == known.instance.id
         was_leaving = known.said_leaving and same
         self._tracked_by_name[start.name] = _TrackedTarget(
-            instance, leaving, born_ms, said_leaving=was_leaving
+            instance, leaving, start_time_ms, said_leaving=was_leaving
         )
 
     def all(self) -> list[tuple[targets.Instance, bool]]:
@@ -144,9 +146,9 @@
 
 
 def _with_start_time(
-    instance: targets.Instance, name: str, born_ms: int
+    instance: targets.Instance, name: str, start_time_ms: int
 ) -> targets.Instance:
-    start = targets.Incarnation(name, born_ms)
+    start = targets.Incarnation(name, start_time_ms)
     return dataclasses.replace(instance, id=str(start))
 
 
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -426,7 +426,7 @@
     async def _beat(self) -> None:
         assert self._participant is not None
         self._sequence += 1
-        self.ends.forget(self.view.held_requests)
+        self.ends.forget(self.view.blocked_request_ids)
         last_end, ends = self.ends.pending(self.digest.term)
         request = _messages.Heartbeat(
             self.daemon,
@@ -645,7 +645,7 @@
             _messages.StateRequest(after),
             STATE_TIMEOUT_S,
         )
-        assembler = catalogue.Joiner()
+        assembler = catalogue.EffectAssembler()
         watched = wire.watched(pieces, _fetch_stalled, STATE_SILENCE_S)
         async with contextlib.aclosing(watched):
             async for piece in watched:
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -99,7 +99,9 @@
         earlier_starts: int = 0,
     ) -> None:
         self.holding = holding
-        self._born_ms = targets.Incarnation.of(holding.info.id).born_ms
+        self._start_time_ms = targets.Incarnation.of(
+            holding.info.id
+        ).start_time_ms
         self._started = started
         self._spec = spec
         self._engine = engine
@@ -159,10 +161,10 @@
         """
         observe.count_message(self._metrics, "report")
         report = await self._engine.report()
-        if self._born_ms is None:
-            self._born_ms = report.born_ms
-        if report.born_ms not in (None, self._born_ms):
-            self._started(report.born_ms)
+        if self._start_time_ms is None:
+            self._start_time_ms = report.start_time_ms
+        if report.start_time_ms not in (None, self._start_time_ms):
+            self._started(report.start_time_ms)
             raise wire.OtherStartError(
                 "The engine was restarted. Wait until its state is known."
             )
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -99,7 +99,8 @@
         self.info = info
         self.capacity = capacity_of(spec)
         self._max_copies = min(
-            COPIES_PER_SLOT * max(self.capacity, 1), catalogue.KEPT_COPIES
+            COPIES_PER_SLOT * max(self.capacity, 1),
+            catalogue.MAX_COPIES_PER_ENGINE,
         )
         self._spec = spec
         self._max_tokens = spec.memory_tokens * MEMORY_FRACTION
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -418,9 +418,9 @@
     ) -> None:
         self._new_start = told
 
-    def _report_new_start(self, target: str, born_ms: int) -> None:
+    def _report_new_start(self, target: str, start_time_ms: int) -> None:
         if self._new_start is not None:
-            self._new_start(target, born_ms)
+            self._new_start(target, start_time_ms)
 
     def _add_target(
         self, info: control.TargetInfo, spec: catalogue.EngineSpec
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -232,7 +232,7 @@
             )
         patience_s = request.patience_s or DEFAULT_PATIENCE_S
         deadline = request.arrived_at + min(patience_s, route.timeout_s)
-        pool = routes.pool_of(route, request.id)
+        pool = routes.choose_pool(route, request.id)
         self._budgets.count(pool.name)
         age_s = self._estimate_age_s(route, patience_s)
         return _Attempt(request, route, pool, answer, deadline, age_s)
@@ -683,11 +683,11 @@
     ) -> None:
         """Record a drain or pause that a target announces in its answer."""
         for said in (reading.leaving, reading.pause):
-            if said.unread is not None:
+            if said.invalid_value is not None:
                 logging.info(
                     "route: Cannot parse status header from %s: %.80r",
                     attempt.target,
-                    said.unread,
+                    said.invalid_value,
                 )
         if not reading.own:
             return
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -293,7 +293,7 @@
         If the instance list gives no start time, each loss is taken as that
         of another incarnation.
         """
-        if targets.Incarnation.of(target.id).born_ms is not None:
+        if targets.Incarnation.of(target.id).start_time_ms is not None:
             return target.id
         return f"{target.id}/{self._clock.now():.1f}"
 
--- a/libs/targets/src/bergamotsail/targets/_adapter_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_adapter_engine.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldAdapter:
+class ReportedAdapter:
     """An adapter in an engine; *version* is None if not reported."""
 
     model: str
@@ -71,19 +71,19 @@
         running: number of requests that run.
         at_hand: base models with a local copy, which can be loaded without
             the weight store.
-        born_ms: start time of the engine in milliseconds of Unix time,
+        start_time_ms: start time of the engine in milliseconds of Unix time,
             None if not reported.
     """
 
     models: tuple[str, ...]
-    adapters: tuple[HeldAdapter, ...]
-    pending: tuple[HeldAdapter, ...]
+    adapters: tuple[ReportedAdapter, ...]
+    pending: tuple[ReportedAdapter, ...]
     busy: bool
     sequence: int
     queued: int = 0
     running: int = 0
     at_hand: tuple[str, ...] = ()
-    born_ms: int | None = None
+    start_time_ms: int | None = None
 
 
 class AdapterEngine(abc.ABC):
--- a/libs/targets/src/bergamotsail/targets/_header_values.py
+++ b/libs/targets/src/bergamotsail/targets/_header_values.py
@@ -16,7 +16,7 @@
     """
 
     is_set: bool = False
-    unread: str | None = None
+    invalid_value: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,38 +29,38 @@
     """
 
     value: float | None = None
-    unread: str | None = None
+    invalid_value: str | None = None
 
 
-def read_flag(values: collections.abc.Iterable[str]) -> Flag:
+def parse_flag(values: collections.abc.Iterable[str]) -> Flag:
     """Parse the values of a flag: "1" is set, "0" is not.
 
     The flag is set if any of the values is "1".
 
-    Example: ``read_flag(["0", "1"])`` is set.
+    Example: ``parse_flag(["0", "1"])`` is set.
     """
-    is_set, unread = False, None
+    is_set, invalid_value = False, None
     for text in values:
         if text == "1":
             is_set = True
         elif text != "0":
-            unread = text
-    return Flag(is_set, unread)
+            invalid_value = text
+    return Flag(is_set, invalid_value)
 
 
-def read_seconds(values: collections.abc.Iterable[str]) -> Seconds:
+def parse_seconds(values: collections.abc.Iterable[str]) -> Seconds:
     """Parse the values of a duration in seconds; the longest counts.
 
     A date is invalid, because it would require synchronised clocks.
 
-    Example: ``read_seconds(["1.5", "soon"])`` returns 1.5 and reports "soon"
+    Example: ``parse_seconds(["1.5", "soon"])`` returns 1.5 and reports "soon"
     as invalid.
     """
-    longest_s, unread = None, None
+    longest_s, invalid_value = None, None
     for text in values:
         whole, _, fraction = text.partition(".")
         if text.isascii() and (whole + fraction).isdecimal():
             longest_s = max(float(text), longest_s or 0.0)
         else:
-            unread = text
-    return Seconds(longest_s, unread)
+            invalid_value = text
+    return Seconds(longest_s, invalid_value)
--- a/libs/targets/src/bergamotsail/targets/_instances.py
+++ b/libs/targets/src/bergamotsail/targets/_instances.py
@@ -33,17 +33,17 @@
 
     Args:
         name: name of the target, the same across restarts.
-        born_ms: start time in milliseconds of Unix time, None if
+        start_time_ms: start time in milliseconds of Unix time, None if
             unknown.
     """
 
     name: str
-    born_ms: int | None = None
+    start_time_ms: int | None = None
 
     def __str__(self) -> str:
-        if self.born_ms is None and START_SEPARATOR not in self.name:
+        if self.start_time_ms is None and START_SEPARATOR not in self.name:
             return self.name
-        start = "" if self.born_ms is None else str(self.born_ms)
+        start = "" if self.start_time_ms is None else str(self.start_time_ms)
         return f"{self.name}{START_SEPARATOR}{start}"
 
     @classmethod
@@ -55,7 +55,7 @@
         return cls(name, int(start) if start else None)
 
 
-def whole_ms(value: object) -> int | None:
+def parse_ms(value: object) -> int | None:
     """Return a time as an int, or None unless it is a whole number >= 0.
 
     A float without a fraction is accepted; a bool is not.
@@ -102,7 +102,7 @@
         """
 
 
-class ListFaults:
+class BadEntryLogger:
     """Logs why entries of the list are skipped, once per cause."""
 
     def __init__(self) -> None:
