--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -77,7 +77,7 @@
         return self._instances
 
 
-class _Entry(control.Bystander):
+class _Entry(control.PassiveParticipant):
     """The session and the places of one entry."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
@@ -341,7 +341,7 @@
         await asyncio.sleep(0.35)
         began_at = asyncio.get_running_loop().time()
         try:
-            await late.session._beat()
+            await late.session._send_heartbeat()
         except wire.ServingError as error:
             return [f"It was refused: {error.message}"]
         took_s = asyncio.get_running_loop().time() - began_at
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -577,7 +577,7 @@
     )
     leader = control.Leader(transport, replicas.addresses)
     session = control.Session(info, leader, transport, lease)
-    session.attach(control.Bystander())
+    session.attach(control.PassiveParticipant())
     relay = control.Relay(session, transport)
     relay.serve(server, control.HEARTBEAT)
     return session
@@ -1500,7 +1500,7 @@
     (
         "lose the leases that wait for a fetch",
         "huge_tables_in_a_row",
-        (control_session, "MOST_WAITING", 0),
+        (control_session, "MAX_PENDING_RENEWALS", 0),
     ),
     (
         "wait for a silent fetch",
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -47,7 +47,7 @@
 HOLD_POLL_S = 0.02
 
 
-class UseKeeper(abc.ABC):
+class UseTracker(abc.ABC):
     """Tracks the requests that run at targets."""
 
     @abc.abstractmethod
@@ -139,7 +139,7 @@
         floor: _floor.FloorRaiser | None = None,
         clock: wire.Clock = wire.LoopClock(),
         steps: wire.Steps = wire.NoSteps(),
-        use_keeper: UseKeeper | None = None,
+        use_keeper: UseTracker | None = None,
         metrics: observe.Metrics | None = None,
     ) -> None:
         self._metrics = metrics or observe.Metrics()
@@ -319,7 +319,7 @@
             timeout_s = request.wait_s + RELAY_TIMEOUT_S
             return await self._relay(_messages.ALONE, request, timeout_s)
         quarantine = self._current_term().quarantine
-        granted = await quarantine.run_alone(
+        granted = await quarantine.acquire_exclusive(
             request.boot, request.identity, request.wait_s
         )
         return _messages.AloneReply(granted)
--- a/libs/control/src/bergamotsail/control/_heard.py
+++ b/libs/control/src/bergamotsail/control/_heard.py
@@ -17,7 +17,7 @@
 MAX_PAUSE_S = 600.0
 
 
-class Heard:
+class TargetNotices:
     """Targets that reported that they are leaving, or asked for a pause.
 
     It has no clock: callers pass the time.
@@ -31,7 +31,7 @@
             collections.OrderedDict()
         )
 
-    def leaves(self, target: str) -> bool:
+    def note_leaving(self, target: str) -> bool:
         """Record that a target is leaving; return whether that is new."""
         is_new = target not in self._leaving
         self._leaving[target] = None
@@ -81,7 +81,7 @@
             if self.pause_left_s(target, now) > longer_than_s
         )
 
-    def untold(
+    def unreported(
         self,
         known_by_id: collections.abc.Mapping[str, _messages.TargetInfo],
     ) -> tuple[str, ...]:
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -71,7 +71,9 @@
         """Return requests whose complete response is to be reported."""
         return self._counter.suspects()
 
-    async def run_alone(self, boot: str, identity: str, wait_s: float) -> bool:
+    async def acquire_exclusive(
+        self, boot: str, identity: str, wait_s: float
+    ) -> bool:
         """Return whether a daemon may run a suspected request now.
 
         Concurrent copies would each crash a target before the first crash
@@ -169,7 +171,7 @@
         if self._is_held(identity):
             return
         earlier_ends = 0 if entry is None else entry.value.ends
-        threshold = quarantine.MOST_ENDS if entry is None else 1
+        threshold = quarantine.MAX_ENDS if entry is None else 1
         if suspect.ends >= threshold:
             self._pending_changes[identity] = catalogue.Quarantine(
                 suspect.member, suspect.pool, earlier_ends + suspect.ends
@@ -255,7 +257,7 @@
 
     Example: 900 s after 3 ends, 1,800 s after 4, a day at most.
     """
-    further = max(ends - quarantine.MOST_ENDS, 0)
+    further = max(ends - quarantine.MAX_ENDS, 0)
     return min(HOLD_S * 2.0**further, MAX_HOLD_S)
 
 
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -41,7 +41,7 @@
 CATCH_UP_POLL_S = 0.01
 # Renewals that wait for a fetch. Later ones are dropped, since the fetched
 # state covers the earliest commit indexes first.
-MOST_WAITING = 100
+MAX_PENDING_RENEWALS = 100
 
 
 class Participant(abc.ABC):
@@ -63,15 +63,15 @@
     def statuses(self) -> tuple[_messages.TargetStatus, ...]:
         """Return the status of each owned target."""
 
-    def promise_runs(self) -> float:
+    def declare_run_bound(self) -> float:
         """Return an upper bound for the time admitted work runs, in seconds.
 
-        It binds also what is admitted later, until :meth:`promised_runs`
+        It binds also what is admitted later, until :meth:`confirm_run_bound`
         confirms that the leader knows of a higher bound.
         """
         return 0.0
 
-    def promised_runs(self) -> None:
+    def confirm_run_bound(self) -> None:
         """Apply the last bound, which the leader has acknowledged."""
 
     def uses(self) -> tuple[_messages.Use, ...]:
@@ -87,7 +87,7 @@
         """Process changes of the view and the digest."""
 
 
-class Bystander(Participant):
+class PassiveParticipant(Participant):
     """A daemon that holds no shares and owns no targets."""
 
     def held_by_key(self) -> dict[str, int]:
@@ -257,7 +257,7 @@
         self.digest = _digest.Digest()
         self.leader = leader
         self.ends = quarantine.Observations(clock)
-        self.heard = _heard.Heard()
+        self.heard = _heard.TargetNotices()
         self._transport = transport
         self._timing = timing
         self._node = node
@@ -364,7 +364,7 @@
 
     def untold_leaving(self) -> tuple[str, ...]:
         """Return leaving targets that the leader doesn't know as such."""
-        return self.heard.untold(self.digest.target_by_id)
+        return self.heard.unreported(self.digest.target_by_id)
 
     def open_targets(
         self,
@@ -394,7 +394,7 @@
     async def _run(self) -> None:
         while True:
             try:
-                await self._beat()
+                await self._send_heartbeat()
             except wire.ServingError as error:
                 logging.debug("session: Heartbeat failed. %s", error.message)
             except Exception:
@@ -423,7 +423,7 @@
             logging.info("session: Lease %s.", "held" if fresh else "lost")
             self._was_fresh = fresh
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         assert self._participant is not None
         self._sequence += 1
         self.ends.forget(self.view.blocked_request_ids)
@@ -440,7 +440,7 @@
             uses=self._participant.uses(),
             ends=ends,
             leaving=self.untold_leaving(),
-            runs_last_s=self._participant.promise_runs(),
+            runs_last_s=self._participant.declare_run_bound(),
         )
         await self._steps.reach(wire.Step.HEARTBEAT, wire.Phase.BEFORE)
         reply = await self._send(request)
@@ -453,12 +453,12 @@
         if await self._catch_up(reply):
             self._log_renewal(sent_at, answered_at)
             self._renew(sent_at)
-        elif len(self._pending_renewals) < MOST_WAITING:
+        elif len(self._pending_renewals) < MAX_PENDING_RENEWALS:
             self._pending_renewals.append((reply.commit, sent_at))
         self.take_digest(reply.digest)
         if reply.digest.more:
             self.kick()
-        self._participant.promised_runs()
+        self._participant.confirm_run_bound()
         self._participant.take_shares(reply.share_by_key)
         if reply.hand_over:
             self._participant.hand_over(reply.hand_over)
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -61,11 +61,11 @@
     def wanted_by_key(self) -> dict[str, int]:
         return self._admission.wanted_by_key()
 
-    def promise_runs(self) -> float:
-        return self._admission.promise_runs()
+    def declare_run_bound(self) -> float:
+        return self._admission.declare_run_bound()
 
-    def promised_runs(self) -> None:
-        self._admission.promised_runs()
+    def confirm_run_bound(self) -> None:
+        self._admission.confirm_run_bound()
 
     def take_shares(self, share_by_key: dict[str, int]) -> None:
         self._admission.take_shares(share_by_key)
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -346,7 +346,7 @@
         return await _propose(self.node, command)
 
 
-class _EntryParticipant(control.Bystander):
+class _EntryParticipant(control.PassiveParticipant):
     """Reports an entry's uses of targets and receives view changes."""
 
     def __init__(
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -80,7 +80,7 @@
         """
 
 
-class Placer(control.UseKeeper):
+class Placer(control.UseTracker):
     """Places requests on engines and orders loads; an async context manager.
 
     Args:
--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -8,13 +8,13 @@
 
 _SuspectTable = collections.OrderedDict[str, "Suspect"]
 # Lost targets after which a request is quarantined.
-MOST_ENDS = 3
+MAX_ENDS = 3
 # Losses closer together than this count as one: a failed rack or switch takes
 # down several targets and all their requests, whichever they are.
-SEPARATE_S = 0.25
+COINCIDENCE_WINDOW_S = 0.25
 # Bounds of memory: suspects per member, members, and targets per suspect.
-MOST_BY_MEMBER = 500
-MOST_MEMBERS = 40
+MAX_SUSPECTS_PER_MEMBER = 500
+MAX_MEMBERS = 40
 MAX_TARGETS_PER_SUSPECT = 16
 # Suspects in one heartbeat reply; 35 bytes each.
 MAX_REPORTED_SUSPECTS = 32
@@ -62,7 +62,7 @@
         count = 0
         last_at = float("-inf")
         for ended_at in sorted(since):
-            if ended_at - last_at > SEPARATE_S:
+            if ended_at - last_at > COINCIDENCE_WINDOW_S:
                 count += 1
                 last_at = ended_at
         return count
@@ -92,7 +92,7 @@
         self.drop(identity)
         found = self.again if suspect.ends > 1 else self.once
         found[identity] = suspect
-        if len(self.once) + len(self.again) <= MOST_BY_MEMBER:
+        if len(self.once) + len(self.again) <= MAX_SUSPECTS_PER_MEMBER:
             return None
         evicted, _ = (self.once or self.again).popitem(last=False)
         return evicted
@@ -140,7 +140,7 @@
         self._member_by_identity.move_to_end(identity)
         if evicted is not None:
             self._member_by_identity.pop(evicted, None)
-        if len(self._by_member) > MOST_MEMBERS:
+        if len(self._by_member) > MAX_MEMBERS:
             self._forget_member(next(iter(self._by_member)))
         self._latest_suspects = None
         return suspect
--- a/libs/routing/src/bergamotsail/routing/_admission.py
+++ b/libs/routing/src/bergamotsail/routing/_admission.py
@@ -250,7 +250,7 @@
                 del self._share_by_key[key]
         return wanted
 
-    def promise_runs(self) -> float:
+    def declare_run_bound(self) -> float:
         """Return a bound on the time until all present requests have ended.
 
         The bound, in seconds, goes to the leader with a heartbeat. It
@@ -268,7 +268,7 @@
         self._confirmed_bound = min(self._confirmed_bound, self._sent_bound)
         return self._sent_bound - now
 
-    def promised_runs(self) -> None:
+    def confirm_run_bound(self) -> None:
         """Note that the leader has confirmed the bound that was sent last."""
         self._confirmed_bound = self._sent_bound
 
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -61,7 +61,7 @@
     @property
     def may_retry(self) -> bool:
         """Whether this attempt may be sent to a further target."""
-        return self.ends < quarantine.MOST_ENDS
+        return self.ends < quarantine.MAX_ENDS
 
 
 class FatalGuard:
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -692,7 +692,7 @@
         if not reading.own:
             return
         heard, now = self._session.heard, self._clock.now()
-        if reading.leaving.is_set and heard.leaves(attempt.target):
+        if reading.leaving.is_set and heard.note_leaving(attempt.target):
             self._metrics.count("targets_heard_leaving")
             self._log_announcement(attempt, "leaving", None)
             # Tell the other daemons before they hear it from the target.
