--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -660,7 +660,7 @@
     server.serve(placement.RELEASE, answer, shed_after_s=0.3)
     server.serve(wire.Call("vote", dict, dict), answer)
     lag = daemon.LoopLag()
-    face = daemon.PeerFace(server, "token", lag)
+    face = daemon.PeerEndpoint(server, "token", lag)
     faults = []
     for late_s, refused in ((0.0, ()), (0.2, ("place",)), (0.5, None)):
         lag.now_s = late_s
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -1095,7 +1095,7 @@
             address,
             self.datacentre_by_address[address],
             self.addresses[:3],
-            borne_losses=self.losses,
+            tolerated_failures=self.losses,
         )
         replica = make_replica(
             settings,
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -120,7 +120,7 @@
 async def _block() -> str:
     metrics = observe.Metrics()
     lag = daemon.LoopLag()
-    async with lag, daemon.Vitals(lag, metrics) as vitals:
+    async with lag, daemon.ProcessMonitor(lag, metrics) as vitals:
         await asyncio.sleep(0.3)
         _spin(BLOCKED_S)
         gc.collect()
@@ -157,7 +157,7 @@
     server.serve(call, dict, shed_after_s=0.1)
     lag = daemon.LoopLag()
     lag.now_s = 0.2
-    face = daemon.PeerFace(server, "token", lag, metrics)
+    face = daemon.PeerEndpoint(server, "token", lag, metrics)
     began_at = time.monotonic()
     with observe.EventLog("r1", written):
         for _ in range(CALLS):
@@ -246,11 +246,11 @@
 async def _some_calls() -> None:
     metrics = observe.Metrics()
     lag = daemon.LoopLag()
-    async with lag, daemon.Vitals(lag, metrics, role="entry"):
+    async with lag, daemon.ProcessMonitor(lag, metrics, role="entry"):
         observe.count_message(metrics, "place", received=10, sent=20)
         with observe.spent(metrics, "place"):
             _spin(0.01)
-        await asyncio.sleep(_vitals.WORK_LINE_S + 0.5)
+        await asyncio.sleep(_vitals.WORK_LOG_INTERVAL_S + 0.5)
 
 
 def _work_told() -> list[str]:
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outside:
+class Dependencies:
     """External dependencies of a daemon, replaceable in tests.
 
     Args:
@@ -87,7 +87,7 @@
     """
 
     def __init__(
-        self, settings: settings_lib.DaemonSettings, dependencies: Outside
+        self, settings: settings_lib.DaemonSettings, dependencies: Dependencies
     ) -> None:
         self.settings = settings
         self.server = wire.PeerServer()
--- a/libs/daemon/src/bergamotsail/daemon/_base_handler.py
+++ b/libs/daemon/src/bergamotsail/daemon/_base_handler.py
@@ -25,10 +25,10 @@
     def initialize(self, daemon: "_assembly.Daemon") -> None:
         """Store the daemon, an argument of the route."""
         self.daemon = daemon
-        self.begin_body(daemon.settings.http.max_body_bytes)
+        self.init_body(daemon.settings.http.max_body_bytes)
         self._task: asyncio.Task | None = None
 
-    def end_refused(self) -> None:
+    def send_refusal(self) -> None:
         """Send the error response for a refused body."""
         assert self.refused is not None
         self.send_error_response(self.refused)
@@ -47,7 +47,7 @@
         """
         if self.refused is not None:
             work.close()
-            self.end_refused()
+            self.send_refusal()
             return
         self._task = asyncio.create_task(work)
         try:
--- a/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -80,7 +80,7 @@
             self._samples.append((now, self.now_s))
 
 
-class PeerFace:
+class PeerEndpoint:
     """Dispatches requests of other daemons to the handlers of a server.
 
     Sheds load: a call registered with ``shed_after_s`` is refused, before
--- a/libs/daemon/src/bergamotsail/daemon/_process.py
+++ b/libs/daemon/src/bergamotsail/daemon/_process.py
@@ -41,7 +41,7 @@
     return server
 
 
-async def told_to_stop() -> None:
+async def wait_for_stop_signal() -> None:
     """Wait for SIGTERM or SIGINT."""
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -49,12 +49,12 @@
         address: peer address, where other daemons reach this one.
         seeds: peer addresses of some replicas.
         peer_token: shared secret that authenticates daemons to each other.
-        order_quiet_s: how long a new leader waits before its
+        initial_order_delay_s: how long a new leader waits before its
             first order; 0 where engines check fencing tokens.
         order_lease_s: minimum age of this process's last order before it
             may give orders again, once another process may have given some.
         places: settings of the placement decisions.
-        borne_losses: number of simultaneous replica failures to
+        tolerated_failures: number of simultaneous replica failures to
             tolerate, including loss of their disks while all other replicas
             lose power: acknowledged entries survive, and the log stays
             writable.
@@ -68,24 +68,24 @@
     peer_token: str
     lease: control.LeaseTiming
     consensus: quorum.Timing = quorum.Timing()
-    order_quiet_s: float = 0.0
+    initial_order_delay_s: float = 0.0
     order_lease_s: float = 3.0
     places: placement.PlaceSettings = placement.PlaceSettings()
-    borne_losses: int = 1
+    tolerated_failures: int = 1
     domain: str | None = None
 
     @property
     def voters(self) -> int:
-        """Number of voters, so that a majority survives *borne_losses*.
+        """Number of voters, so that a majority survives *tolerated_failures*.
 
         The number of seeds does not set it: with three seeds as the only
         voters, losing two disks would end the log for good. At least one
         failure is always tolerated.
         """
-        return 2 * max(self.borne_losses, 1) + 1
+        return 2 * max(self.tolerated_failures, 1) + 1
 
 
-def counted_transport(
+def make_counting_transport(
     http: wire.CurlClient, token: str, metrics: observe.Metrics
 ) -> wire.HttpPeerTransport:
     """Return a peer transport that counts the bytes of each call."""
@@ -115,7 +115,7 @@
 def metrics_application(metrics: observe.Metrics) -> web.Application:
     """Return an application that serves the metrics of this process."""
     routes = [(r"/metrics", MetricsHandler, {"metrics": metrics})]
-    return _access_log.quiet_application(routes)
+    return _access_log.application_without_access_log(routes)
 
 
 class _NodeLeadership(placement.Leadership):
@@ -216,8 +216,10 @@
         self.server = wire.PeerServer()
         self.lag = _peer_endpoint.LoopLag(clock)
         self.metrics = metrics or observe.Metrics()
-        self.process_monitor = _vitals.Vitals(self.lag, self.metrics, clock)
-        self.peer_face = _peer_endpoint.PeerFace(
+        self.process_monitor = _vitals.ProcessMonitor(
+            self.lag, self.metrics, clock
+        )
+        self.peer_endpoint = _peer_endpoint.PeerEndpoint(
             self.server, settings.peer_token, self.lag, self.metrics
         )
         self.machine = catalogue.CatalogueMachine()
@@ -259,7 +261,7 @@
             tenure=placement.Tenure(
                 settings.order_lease_s,
                 clock.now() if started_at is None else started_at,
-                settings.order_quiet_s,
+                settings.initial_order_delay_s,
             ),
         )
         self.coordinator = control.Coordinator(
@@ -365,7 +367,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BudgetSettings:
+class ResendBudgetSettings:
     """Budget for resending requests, shared by all daemons.
 
     Args:
@@ -396,7 +398,7 @@
         http: wire.CurlClient,
         transport: wire.PeerTransport,
         dialect: routing.Dialect,
-        budget: BudgetSettings,
+        budget: ResendBudgetSettings,
         on_change: collections.abc.Callable[[], None],
         make_engine: collections.abc.Callable[
             [targets.Instance], targets.AdapterEngine
@@ -417,11 +419,11 @@
         )
         self.server = wire.PeerServer()
         self.lag = _peer_endpoint.LoopLag(clock)
-        self.peer_face = _peer_endpoint.PeerFace(
+        self.peer_endpoint = _peer_endpoint.PeerEndpoint(
             self.server, settings.peer_token, self.lag, self.metrics
         )
         self.leader = control.Leader(transport, settings.seeds)
-        self.process_monitor = _vitals.Vitals(
+        self.process_monitor = _vitals.ProcessMonitor(
             self.lag, self.metrics, clock, role="entry"
         )
         self.session = control.Session(
--- a/libs/daemon/src/bergamotsail/daemon/_vitals.py
+++ b/libs/daemon/src/bergamotsail/daemon/_vitals.py
@@ -25,7 +25,7 @@
 # A second whose largest lag exceeds this is logged.
 LAG_LOG_THRESHOLD_S = 0.1
 # Interval of the event "work", which costs an entry about 0.1 ms.
-WORK_LINE_S = 5.0
+WORK_LOG_INTERVAL_S = 5.0
 STATM = pathlib.Path("/proc/self/statm")
 
 
@@ -51,12 +51,12 @@
             self.paused_s += now - self._gc_started_at
 
 
-class Vitals(quorum.Witness):
+class ProcessMonitor(quorum.Witness):
     """Logs resource use of this process; an async context manager.
 
     Adds it to each election event. Once a second it records the largest
     loop lag in the metrics, and logs an event if that exceeds
-    LAG_LOG_THRESHOLD_S. Every WORK_LINE_S it logs the work done,
+    LAG_LOG_THRESHOLD_S. Every WORK_LOG_INTERVAL_S it logs the work done,
     by kind.
 
     Args:
@@ -82,7 +82,7 @@
         self._background = wire.Background()
         self._stack = contextlib.ExitStack()
 
-    async def __aenter__(self) -> "Vitals":
+    async def __aenter__(self) -> "ProcessMonitor":
         self._stack.enter_context(self._gc_pauses)
         self._background.start(self._watch)
         return self
@@ -123,7 +123,7 @@
                 await self._clock.sleep(SAMPLE_INTERVAL_S)
             self._record_lag()
             over_s = self._clock.now() - logged_at
-            if over_s >= WORK_LINE_S:
+            if over_s >= WORK_LOG_INTERVAL_S:
                 logged_at += over_s
                 self._log_work(over_s)
 
