--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -233,7 +233,7 @@
         return tuple(t.listed() for t in self._world.targets if t.up)
 
 
-class World(growth.Deployed):
+class World(growth.DeployedReplicas):
     """Replicas, entries and targets; an async context manager."""
 
     def __init__(
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -119,7 +119,7 @@
         await self.places.__aexit__()
 
 
-class Fleet(growth.Deployed):
+class Fleet(growth.DeployedReplicas):
     """A whole deployment; an async context manager."""
 
     def __init__(self, size: Size, seed: int = 1) -> None:
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -1065,7 +1065,7 @@
     )
 
 
-class Deployed(Replicas):
+class DeployedReplicas(Replicas):
     """Replicas as a deployment starts them; the first three are seeds.
 
     Args:
@@ -1201,9 +1201,9 @@
 
 async def _for_seeds(
     work: collections.abc.Callable[
-        [Deployed], collections.abc.Awaitable[list[str]]
+        [DeployedReplicas], collections.abc.Awaitable[list[str]]
     ],
-    make: collections.abc.Callable[[int], Deployed],
+    make: collections.abc.Callable[[int], DeployedReplicas],
     seeds: range,
 ) -> list[str]:
     """Play a scenario with several seeds; return what went wrong where."""
@@ -1220,15 +1220,15 @@
     return faults
 
 
-def _five_or_six(seed: int) -> Deployed:
+def _five_or_six(seed: int) -> DeployedReplicas:
     """Return five replicas, or six of which one does not vote."""
-    return Deployed(5 + seed % 2, seed)
+    return DeployedReplicas(5 + seed % 2, seed)
 
 
 async def disks_lost_in_a_power_cut() -> list[str]:
     """As many disks as may be are lost while all others lose power."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.grown(5)
         await replicas.acknowledged(1)
         lost = replicas.lost_at_random(await replicas.leader())
@@ -1248,7 +1248,7 @@
 async def voters_away() -> list[str]:
     """The log goes on while as many as may be lost are without power."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.grown(5)
         await replicas.acknowledged(1)
         for address in replicas.lost_at_random(await replicas.leader()):
@@ -1271,13 +1271,13 @@
     faults = []
     for losses, count in ((2, 5), (2, 7), (1, 5), (3, 9)):
         for seed in range(3):
-            found = await _growth_of(Deployed(count, seed, losses))
+            found = await _growth_of(DeployedReplicas(count, seed, losses))
             where = f"{losses} losses, {count} replicas, seed {seed}"
             faults += [f"{where}: {fault}" for fault in found]
     return faults
 
 
-async def _growth_of(replicas: Deployed) -> list[str]:
+async def _growth_of(replicas: DeployedReplicas) -> list[str]:
     """Start all, and look at each configuration that comes in force."""
     faults: list[str] = []
     await replicas.start_all()
@@ -1306,7 +1306,7 @@
 async def spare_takes_a_place() -> list[str]:
     """A sixth learns, votes for one that is gone, and that one may return."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.grown(5)
         await asyncio.sleep(2.0)
         leader = await replicas.leader()
@@ -1331,13 +1331,13 @@
         faults += [f"then {wrong}"] if wrong else []
         return faults + await replicas.keeps(1, 0.1)
 
-    return await _for_seeds(work, lambda n: Deployed(6, n), range(6))
+    return await _for_seeds(work, lambda n: DeployedReplicas(6, n), range(6))
 
 
 async def disks_lost_during_repair() -> list[str]:
     """A second disk is lost while the first is made good."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.grown(5)
         await replicas.acknowledged(1)
         lost = replicas.lost_at_random(await replicas.leader())
@@ -1358,7 +1358,7 @@
 async def disk_lost_twice() -> list[str]:
     """A learner that loses its disk again is brought in all the same."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.grown(5)
         leader = await replicas.leader()
         others = replicas.voters(leader) - {leader.member.address}
@@ -1379,7 +1379,7 @@
         wrong = await replicas.vote(set(replicas.addresses), 8.0)
         return faults + ([wrong] if wrong else [])
 
-    return await _for_seeds(work, lambda n: Deployed(5, n), range(5))
+    return await _for_seeds(work, lambda n: DeployedReplicas(5, n), range(5))
 
 
 async def lost_datacentre() -> list[str]:
@@ -1388,7 +1388,7 @@
     The seeds may all be in one; whoever asks first may be there too.
     """
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         wanted = 2 * replicas.losses + 1
         faults = await replicas.grown(wanted)
         await asyncio.sleep(6.0)
@@ -1408,10 +1408,10 @@
     crowded = ("da", "da", "da", "da", "db", "db", "dc", "dc")
     in_two = ("da", "da", "db", "da", "dc")
     faults = await _for_seeds(
-        work, lambda n: Deployed(8, n, 2, crowded), range(5)
+        work, lambda n: DeployedReplicas(8, n, 2, crowded), range(5)
     )
     return faults + await _for_seeds(
-        work, lambda n: Deployed(5, n, 1, in_two), range(5)
+        work, lambda n: DeployedReplicas(5, n, 1, in_two), range(5)
     )
 
 
