--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -166,10 +166,10 @@
                 reading.drop(key)
             pace = reading.pace(now)
             sound = (
-                _pace.LEAST_TOKENS_PER_S * 0.99
+                _pace.MIN_TOKENS_PER_S * 0.99
                 <= pace.tokens_per_s
-                <= _pace.MOST_TOKENS_PER_S * 1.01
-                and 0.0 <= pace.fixed_s <= _pace.MOST_FIXED_S
+                <= _pace.MAX_TOKENS_PER_S * 1.01
+                and 0.0 <= pace.fixed_s <= _pace.MAX_FIXED_S
                 and reading.backlog_s(now) >= 0.0
             )
             if not sound:
@@ -233,7 +233,7 @@
         self.weighed = 0
         pool = _pace.PoolPace()
         self.by_id = {
-            f"e{n}": _holding.Holding(
+            f"e{n}": _holding.EngineRecord(
                 targets.Instance(f"e{n}", POOL, "10.0.0.1:1", "a"),
                 SPEC,
                 0,
@@ -244,7 +244,7 @@
         for holding in self.by_id.values():
             holding.known = True
             holding.models = {MODEL}
-        self.policy = _place_policy.HomePolicy()
+        self.policy = _place_policy.CopyAffinityPolicy()
         self.decider = _decisions.Decider(
             self.by_id, self.policy, settings, lambda *_: True
         )
@@ -256,9 +256,11 @@
         self.by_id[target].slot_by_name[(MODEL, adapter)] = slot
         self.by_id[target].remember_copy((MODEL, adapter))
 
-    def wish(self, adapter: str, tokens: int = 3_000) -> _place_policy.Wish:
+    def wish(
+        self, adapter: str, tokens: int = 3_000
+    ) -> _place_policy.PlacementDemand:
         """Return a request."""
-        return _place_policy.Wish(
+        return _place_policy.PlacementDemand(
             POOL, (MODEL, adapter), tokens + 100, (), (), tokens, "a", 0.0
         )
 
@@ -329,7 +331,7 @@
     engines = Engines(600)
     engines.by_id["e599"].remember_copy((MODEL, "a1"))
     weighed = 0
-    load_cost_s = _place_policy.HomePolicy.load_cost_s
+    load_cost_s = _place_policy.CopyAffinityPolicy.load_cost_s
 
     def counted(*args: object) -> float:
         nonlocal weighed
@@ -337,13 +339,13 @@
         return load_cost_s(*args)
 
     with unittest.mock.patch.object(
-        _place_policy.HomePolicy, "load_cost_s", counted
+        _place_policy.CopyAffinityPolicy, "load_cost_s", counted
     ):
         decision = engines.decide("a1")
     faults = []
     if decision != _decisions.Load("e599", None):
         faults.append(f"{decision} though e599 has a copy")
-    if weighed > _decisions.MOST_WEIGHED + 1:
+    if weighed > _decisions.MAX_LOAD_CANDIDATES + 1:
         faults.append(f"{weighed} engines were weighed")
     return faults
 
@@ -705,7 +707,7 @@
             leadership,
             unittest.mock.Mock(),
             unittest.mock.Mock(),
-            _place_policy.HomePolicy(),
+            _place_policy.CopyAffinityPolicy(),
             observe.Metrics(),
             _SlowClock(),
         )
@@ -716,8 +718,8 @@
             )
             asking.append(asyncio.create_task(placer.on_place(request)))
         await asyncio.sleep(0)
-        placer._pump()
-        left, due = len(placer._names_left), placer._pump_due is not None
+        placer._schedule()
+        left, due = len(placer._names_left), placer._schedule_timer is not None
         for task in asking:
             task.cancel()
         return left, due
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -309,7 +309,7 @@
             self.leader,
             lambda: self.machine.view,
             self.engine_of,
-            placement.HomePolicy(),
+            placement.CopyAffinityPolicy(),
             observe.Metrics(),
             tenure=placement.Tenure(0.0, 0.0, quiet_s),
         )
@@ -666,16 +666,16 @@
     async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
         await asyncio.sleep(2.0)
         decided = 0
-        pump = ledger.placer._pump
+        pump = ledger.placer._schedule
 
         def counted() -> None:
             nonlocal decided
             decided += 1
             pump()
-            ledger.placer._pump_took_s = 0.02
+            ledger.placer._schedule_took_s = 0.02
 
-        ledger.placer._pump = counted
-        ledger.placer._pump_took_s = 0.02
+        ledger.placer._schedule = counted
+        ledger.placer._schedule_took_s = 0.02
         tasks = [
             asyncio.create_task(ledger.request(f"a{n}", 0.1, 1.0))
             for n in range(200)
@@ -732,7 +732,7 @@
     (
         "decide at once, always",
         "storm_of_waiters",
-        (_placer, "PUMP_SPACING", 0.0),
+        (_placer, "SCHEDULE_SPACING", 0.0),
     ),
     (
         "begin on an old version",
@@ -758,7 +758,11 @@
     (
         "load all models at once",
         "models_in_turn",
-        (placement.StoreTurns, "turn", lambda _: contextlib.AsyncExitStack()),
+        (
+            placement.StoreLoadLock,
+            "turn",
+            lambda _: contextlib.AsyncExitStack(),
+        ),
     ),
     (
         "say nothing of what is expected",
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -76,7 +76,7 @@
         )
 
     @property
-    def holdings(self) -> list[placement.Holding]:
+    def holdings(self) -> list[placement.EngineRecord]:
         """What is believed of the engines."""
         orders = self.placer._orders_by_target.values()
         return [each.holding for each in orders]
@@ -348,7 +348,7 @@
     (
         "see no start in fewer orders",
         "told_by_neither",
-        (placement.Holding, "shows_new_start", lambda *_: False),
+        (placement.EngineRecord, "shows_new_start", lambda *_: False),
     ),
     (
         "believe the list, however old",
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -146,7 +146,7 @@
         return await node.propose(wire.encode(command))
 
 
-class _LogCopyRegistry(placement.CopyNotes):
+class _LogCopyRegistry(placement.CopyRegistry):
     """Persists adapter copies in the log, so that the next leader has them."""
 
     def __init__(
@@ -162,7 +162,7 @@
         await _propose(self._node, catalogue.Command(note_copies=note))
 
 
-class _LogHolderRegistry(placement.HolderNotes):
+class _LogHolderRegistry(placement.HolderRegistry):
     """Persists in the log which instances gave orders to engines."""
 
     def __init__(
@@ -247,7 +247,7 @@
             _NodeLeadership(self.node),
             lambda: self.machine.view,
             make_engine,
-            placement.HomePolicy(
+            placement.CopyAffinityPolicy(
                 store_price_s=settings.places.store_price_s,
                 other_datacentre_s=settings.places.other_datacentre_s,
             ),
--- a/libs/placement/src/bergamotsail/placement/_counter.py
+++ b/libs/placement/src/bergamotsail/placement/_counter.py
@@ -1,7 +1,7 @@
 """Event counts with exponential decay."""
 
 
-class AgedCounter:
+class DecayingCounter:
     """Counts events by key, with exponential decay.
 
     Args:
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -29,7 +29,7 @@
 # Number of least loaded engines considered for a load, besides those with a
 # copy. The cost of a decision is proportional to it, and more engines gain
 # nothing since the least loaded ones are alike.
-MOST_WEIGHED = 10
+MAX_LOAD_CANDIDATES = 10
 # Maximum age of the cached order of engines by load.
 MAX_SORT_AGE_S = 0.02
 
@@ -61,8 +61,8 @@
 
 
 Decision = Run | Load | Wait
-Wish = _place_policy.Wish
-Holding = _holding.Holding
+PlacementDemand = _place_policy.PlacementDemand
+EngineRecord = _holding.EngineRecord
 
 
 class Decider:
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        holding_by_target: collections.abc.Mapping[str, Holding],
+        holding_by_target: collections.abc.Mapping[str, EngineRecord],
         policy: _place_policy.PlacePolicy,
         settings: _place_settings.PlaceSettings,
         is_current: collections.abc.Callable[
@@ -87,11 +87,11 @@
         self._policy = policy
         self._settings = settings
         self._is_current = is_current
-        self._sorted_by_pool: dict[str, tuple[float, list[Holding]]] = {}
+        self._sorted_by_pool: dict[str, tuple[float, list[EngineRecord]]] = {}
 
     def decide(
         self,
-        wish: Wish,
+        wish: PlacementDemand,
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
         may_load: bool = True,
@@ -134,7 +134,7 @@
                 return further
         return Run(there.info.id)
 
-    def _run_anywhere(self, wish: Wish, now: float) -> Decision:
+    def _run_anywhere(self, wish: PlacementDemand, now: float) -> Decision:
         """Decide for a request to the base model, which needs no adapter."""
         best = min(
             (
@@ -150,8 +150,8 @@
 
     def _additional_copy(
         self,
-        wish: Wish,
-        resident: list[tuple[Holding, _holding.Slot]],
+        wish: PlacementDemand,
+        resident: list[tuple[EngineRecord, _holding.Slot]],
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
         cost_s: float,
@@ -179,7 +179,7 @@
 
     def _load(
         self,
-        wish: Wish,
+        wish: PlacementDemand,
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
         limit_s: float,
@@ -189,7 +189,7 @@
         None if no engine qualifies, the cheapest one has no room now, or its
         cost exceeds *limit_s*.
         """
-        best: tuple[float, int, Holding] | None = None
+        best: tuple[float, int, EngineRecord] | None = None
         best_slot: tuple[_holding.AdapterName | None] | None = None
         for number, holding in enumerate(self._load_candidates(wish, now)):
             if wish.name in holding.slot_by_name or not holding.can_take(wish):
@@ -205,21 +205,23 @@
         return Load(best[2].info.id, best_slot[0])
 
     def _load_candidates(
-        self, wish: Wish, now: float
-    ) -> collections.abc.Iterator[Holding]:
+        self, wish: PlacementDemand, now: float
+    ) -> collections.abc.Iterator[EngineRecord]:
         """Yield the least loaded engines and those with a copy."""
         ordered = self._least_loaded_first(wish, now)
-        near = ordered[:MOST_WEIGHED]
+        near = ordered[:MAX_LOAD_CANDIDATES]
         yield from near
-        for holding in ordered[MOST_WEIGHED:]:
+        for holding in ordered[MAX_LOAD_CANDIDATES:]:
             if holding.has_copy(wish.name):
                 yield holding
 
-    def _least_loaded_first(self, wish: Wish, now: float) -> list[Holding]:
+    def _least_loaded_first(
+        self, wish: PlacementDemand, now: float
+    ) -> list[EngineRecord]:
         """Return a pool's engines, the least loaded first.
 
         The order may be MAX_SORT_AGE_S old. A pool is not sorted if it has
-        at most MOST_WEIGHED engines.
+        at most MAX_LOAD_CANDIDATES engines.
         """
         at, ordered = self._sorted_by_pool.get(wish.pool, (0.0, []))
         there = self._holding_by_target
@@ -231,12 +233,12 @@
             for holding in self._holding_by_target.values()
             if holding.info.pool == wish.pool
         ]
-        if len(ordered) > MOST_WEIGHED:
+        if len(ordered) > MAX_LOAD_CANDIDATES:
             ordered.sort(key=lambda holding: self._load_of(holding, now))
         self._sorted_by_pool[wish.pool] = (now, ordered)
         return ordered
 
-    def _load_of(self, holding: Holding, now: float) -> float:
+    def _load_of(self, holding: EngineRecord, now: float) -> float:
         """Return the load of an engine, infinite if it accepts no loads."""
         if not holding.may_load:
             return float("inf")
@@ -244,7 +246,7 @@
 
     def _find_slot(
         self,
-        holding: Holding,
+        holding: EngineRecord,
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
     ) -> tuple[_holding.AdapterName | None] | None:
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -51,7 +51,7 @@
         """Return a context that marks an order as in flight."""
 
 
-class StoreTurns:
+class StoreLoadLock:
     """Serializes the loads of base models from the store.
 
     Concurrent loads slow each other down. In sequence, the first ones finish
@@ -86,12 +86,12 @@
 
     def __init__(
         self,
-        holding: _holding.Holding,
+        holding: _holding.EngineRecord,
         spec: catalogue.EngineSpec,
         engine: targets.AdapterEngine,
         term: int,
         gate: OrderGate,
-        store: StoreTurns,
+        store: StoreLoadLock,
         metrics: observe.Metrics,
         changed: collections.abc.Callable[[], None],
         clock: wire.Clock,
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -74,7 +74,7 @@
             clock,
             steps,
             _residents.Residents(clock.now()),
-            _counter.AgedCounter(settings.half_life_s),
+            _counter.DecayingCounter(settings.half_life_s),
         )
         self._queue = self._state.queue
         self._residents = self._state.residents
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -76,7 +76,7 @@
     granted_at: float
 
 
-class Holding:
+class EngineRecord:
     """The scheduler's record of one incarnation of an engine.
 
     It follows the accepted orders. Reports lag, so they only confirm the
@@ -126,14 +126,14 @@
         self._prefixes: collections.OrderedDict[
             tuple[AdapterName, str], None
         ] = collections.OrderedDict()
-        self._faults = _counter.AgedCounter(FAULT_HALF_LIFE_S)
+        self._faults = _counter.DecayingCounter(FAULT_HALF_LIFE_S)
 
     @property
     def may_load(self) -> bool:
         """Whether the state is known and load orders are possible."""
         return self.known and not self.leaving and not self.fenced
 
-    def can_take(self, wish: "_place_policy.Wish") -> bool:
+    def can_take(self, wish: "_place_policy.PlacementDemand") -> bool:
         """Whether a request may run here and fits into the free capacity."""
         return (
             not self.leaving
--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -25,9 +25,9 @@
 # Maximum age of a cached estimate.
 MAX_ESTIMATE_AGE_S = 0.1
 # Bounds of an estimate, whatever is observed.
-LEAST_TOKENS_PER_S = 1_000.0
-MOST_TOKENS_PER_S = 1_000_000.0
-MOST_FIXED_S = 0.25
+MIN_TOKENS_PER_S = 1_000.0
+MAX_TOKENS_PER_S = 1_000_000.0
+MAX_FIXED_S = 0.25
 # An observation is capped at this multiple of the expected duration.
 MAX_OBSERVATION_RATIO = 4.0
 
@@ -108,11 +108,9 @@
         product += PRIOR_WEIGHT * PRIOR_TOKENS * prior_s
         spread = weight * squared - tokens * tokens
         slope = (weight * product - tokens * seconds) / spread
-        slope = min(
-            max(slope, 1.0 / MOST_TOKENS_PER_S), 1.0 / LEAST_TOKENS_PER_S
-        )
+        slope = min(max(slope, 1.0 / MAX_TOKENS_PER_S), 1.0 / MIN_TOKENS_PER_S)
         fixed_s = (seconds - slope * tokens) / weight
-        return Pace(min(max(fixed_s, 0.0), MOST_FIXED_S), 1.0 / slope)
+        return Pace(min(max(fixed_s, 0.0), MAX_FIXED_S), 1.0 / slope)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libs/placement/src/bergamotsail/placement/_place_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_place_policy.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class PlacementDemand:
     """The requirements of a request to be placed.
 
     Args:
@@ -44,18 +44,22 @@
     """Computes the cost of serving a request on an engine."""
 
     @abc.abstractmethod
-    def busy_cost_s(self, holding: _holding.Holding, now: float) -> float:
+    def busy_cost_s(self, holding: _holding.EngineRecord, now: float) -> float:
         """Return the load of an engine, independent of any request."""
 
     @abc.abstractmethod
     def run_cost_s(
-        self, holding: _holding.Holding, wish: Wish, now: float
+        self, holding: _holding.EngineRecord, wish: PlacementDemand, now: float
     ) -> float:
         """Return the cost of running on an engine that holds the adapter."""
 
     @abc.abstractmethod
     def load_cost_s(
-        self, holding: _holding.Holding, wish: Wish, now: float, room: bool
+        self,
+        holding: _holding.EngineRecord,
+        wish: PlacementDemand,
+        now: float,
+        room: bool,
     ) -> float:
         """Return the cost of loading the adapter there and then running.
 
@@ -65,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HomePolicy(PlacePolicy):
+class CopyAffinityPolicy(PlacePolicy):
     """Prefers engines that keep a local copy of the adapter.
 
     A load from a local copy takes a tenth of the time of a fetch from the
@@ -92,12 +96,12 @@
     fault_s: float = 0.3
     hash_rank_s: float = 0.01
 
-    def busy_cost_s(self, holding: _holding.Holding, now: float) -> float:
+    def busy_cost_s(self, holding: _holding.EngineRecord, now: float) -> float:
         backlog_s = holding.reading.backlog_s(now)
         return backlog_s + self.fault_s * holding.faults(now)
 
     def run_cost_s(
-        self, holding: _holding.Holding, wish: Wish, now: float
+        self, holding: _holding.EngineRecord, wish: PlacementDemand, now: float
     ) -> float:
         tokens = holding.new_tokens(wish.name, wish.parts, wish.prompt_tokens)
         far = holding.info.datacentre != wish.datacentre
@@ -109,7 +113,11 @@
         )
 
     def load_cost_s(
-        self, holding: _holding.Holding, wish: Wish, now: float, room: bool
+        self,
+        holding: _holding.EngineRecord,
+        wish: PlacementDemand,
+        now: float,
+        room: bool,
     ) -> float:
         cost_s = self.run_cost_s(holding, wish, now)
         if holding.has_copy(wish.name):
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -55,7 +55,7 @@
 MAX_WAITERS = 400
 # Minimum delay before the next scheduling pass, as a multiple of the duration
 # of the last one.
-PUMP_SPACING = 3.0
+SCHEDULE_SPACING = 3.0
 # How long requests may still start on a version after a newer one is named.
 OLD_VERSION_S = 1.0
 RETRY_AFTER_S = 0.5
@@ -64,7 +64,7 @@
 Outcome = _place_messages.UseOutcome
 
 
-class CopyNotes(abc.ABC):
+class CopyRegistry(abc.ABC):
     """Persists outside this process which engines have copies of adapters."""
 
     @abc.abstractmethod
@@ -101,11 +101,11 @@
         policy: _place_policy.PlacePolicy,
         metrics: observe.Metrics,
         clock: wire.Clock = wire.LoopClock(),
-        notes: CopyNotes | None = None,
+        notes: CopyRegistry | None = None,
         settings: _place_settings.PlaceSettings = (
             _place_settings.PlaceSettings()
         ),
-        holder_notes: _tenure.HolderNotes = _tenure.NoHolderRegistry(),
+        holder_notes: _tenure.HolderRegistry = _tenure.NoHolderRegistry(),
         tenure: _tenure.Tenure | None = None,
     ) -> None:
         self._settings = settings
@@ -116,7 +116,7 @@
             self._schedule_soon,
             clock,
         )
-        self._uses = _counter.AgedCounter(USES_HALF_LIFE_S)
+        self._uses = _counter.DecayingCounter(USES_HALF_LIFE_S)
         self._notes = notes
         self._leadership = leadership
         self._view = view
@@ -126,7 +126,7 @@
         self._term = -1
         self._term_at = 0.0
         self._orders_by_target: dict[str, _engine_orders.EngineOrders] = {}
-        self._holding_by_target: dict[str, _holding.Holding] = {}
+        self._holding_by_target: dict[str, _holding.EngineRecord] = {}
         # The target of each running request, by daemon boot and request.
         self._target_by_request: dict[str, dict[str, str]] = {}
         self._decider = _decisions.Decider(
@@ -136,7 +136,7 @@
         self._newest_seen_at: dict[_holding.AdapterName, tuple[int, float]] = (
             {}
         )
-        self._store = _engine_orders.StoreTurns()
+        self._store = _engine_orders.StoreLoadLock()
         self._background = wire.Background()
         self._removed_targets: set[str] = set()
         self._new_start: collections.abc.Callable[[str, int], None] | None = (
@@ -147,8 +147,8 @@
             collections.Counter()
         )
         self._pace_by_pool: dict[str, _pace.PoolPace] = {}
-        self._pump_due: asyncio.TimerHandle | None = None
-        self._pump_took_s = 0.0
+        self._schedule_timer: asyncio.TimerHandle | None = None
+        self._schedule_took_s = 0.0
         # Adapters for which the last decision found no free slot.
         self._lacking: set[_holding.AdapterName] = set()
         self._names_left: collections.deque[_holding.AdapterName] = (
@@ -430,7 +430,7 @@
         )
         name = targets.Incarnation.of(info.id).name
         orders = _engine_orders.EngineOrders(
-            _holding.Holding(
+            _holding.EngineRecord(
                 instance,
                 spec,
                 self._term_at + USES_TOLD_S,
@@ -544,7 +544,7 @@
             if names:
                 yield catalogue.Copies(target, names)
 
-    def _usable(self, waiter: _waiting.Waiter) -> list[_holding.Holding]:
+    def _usable(self, waiter: _waiting.Waiter) -> list[_holding.EngineRecord]:
         """Return the engines that could run a request."""
         wish = self._wish(waiter, self._clock.now())
         return [
@@ -557,19 +557,21 @@
 
     def _schedule_soon(self) -> None:
         """Schedule a pass, delayed so that passes take a bounded CPU share."""
-        if self._pump_due is None:
-            delay_s = max(SCHEDULE_DELAY_S, PUMP_SPACING * self._pump_took_s)
+        if self._schedule_timer is None:
+            delay_s = max(
+                SCHEDULE_DELAY_S, SCHEDULE_SPACING * self._schedule_took_s
+            )
             loop = asyncio.get_running_loop()
-            self._pump_due = loop.call_later(delay_s, self._pump)
+            self._schedule_timer = loop.call_later(delay_s, self._schedule)
 
-    def _pump(self) -> None:
+    def _schedule(self) -> None:
         """Run one scheduling pass: grant requests and start loads.
 
         A pass is limited in time and leaves the rest to the next one. After
         a leader change hundreds of requests wait; deciding for all of them
         at once took so long that the leader's lease expired.
         """
-        self._pump_due = None
+        self._schedule_timer = None
         if self._leadership.holds():
             with observe.spent(self._metrics, "decide"):
                 self._decide_slice()
@@ -591,7 +593,7 @@
                 waiters_by_name.get(name, []), wanted, now, may_load
             )
         self._waiters = [w for w in self._waiters if not w.done.done()]
-        self._pump_took_s = self._clock.now() - now
+        self._schedule_took_s = self._clock.now() - now
         if self._names_left:
             self._schedule_soon()
 
@@ -675,7 +677,9 @@
         version = self._wanted_version(name)
         orders.start_load(name, version, decision.victim, now)
 
-    def _wish(self, waiter: _waiting.Waiter, now: float) -> _place_policy.Wish:
+    def _wish(
+        self, waiter: _waiting.Waiter, now: float
+    ) -> _place_policy.PlacementDemand:
         uses = self._uses.value("/".join(waiter.name), now)
         return waiter.wish(uses, now)
 
--- a/libs/placement/src/bergamotsail/placement/_state.py
+++ b/libs/placement/src/bergamotsail/placement/_state.py
@@ -34,7 +34,7 @@
     clock: wire.Clock
     steps: wire.Steps
     residents: _residents.Residents
-    uses: _counter.AgedCounter
+    uses: _counter.DecayingCounter
     queue: _fair_queue.FairQueue = dataclasses.field(
         default_factory=_fair_queue.FairQueue
     )
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -16,7 +16,7 @@
 MAX_CLOCK_DRIFT = 0.05
 
 
-class HolderNotes(abc.ABC):
+class HolderRegistry(abc.ABC):
     """Persists outside this process which instances gave orders."""
 
     @property
@@ -43,7 +43,7 @@
         """
 
 
-class NoHolderRegistry(HolderNotes):
+class NoHolderRegistry(HolderRegistry):
     """Records nothing; for deployments with a single order-giving process."""
 
     @property
--- a/libs/placement/src/bergamotsail/placement/_waiting.py
+++ b/libs/placement/src/bergamotsail/placement/_waiting.py
@@ -49,9 +49,9 @@
         )
         return latest_start < now, request.priority, latest_start
 
-    def wish(self, uses: float, now: float) -> _place_policy.Wish:
+    def wish(self, uses: float, now: float) -> _place_policy.PlacementDemand:
         """Return the requirements of the request for a decision."""
-        return _place_policy.Wish(
+        return _place_policy.PlacementDemand(
             self.request.pool,
             self.name,
             self.tokens,
--- a/libs/routing/src/bergamotsail/routing/_service_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_service_choice.py
@@ -45,7 +45,7 @@
         self._running_by_target: collections.Counter[str] = (
             collections.Counter()
         )
-        self._failures = placement.AgedCounter(FAILURE_HALF_LIFE_S)
+        self._failures = placement.DecayingCounter(FAILURE_HALF_LIFE_S)
 
     def choose(
         self,
