--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -363,7 +363,7 @@
         "told_in_time_small",
         (
             quorum.Node,
-            "hears_leader",
+            "has_leader_contact",
             property(lambda node: node.leader is not None),
         ),
     ),
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -507,10 +507,10 @@
     """A leader that was cut off can't confirm that it leads."""
     replicas = await _formed()
     leader = await replicas.leader()
-    await leader.confirm_lead(1.0)
+    await leader.confirm_leadership(1.0)
     replicas.network.isolate(leader.member.address)
     try:
-        await leader.confirm_lead(1.0)
+        await leader.confirm_leadership(1.0)
     except wire.NotLeaderError:
         return []
     return ["A leader without a majority answered a read."]
@@ -892,7 +892,7 @@
     async def stand(transfer: bool, unanimous: bool = False) -> None:
         stands.append(transfer)
 
-    heir._stand = stand
+    heir._run_election = stand
     await heir.on_lead(quorum_messages.LeadRequest(heir.member.id, heir.term))
     # The loop that stands gets its turn only after the next term is known.
     heir._vote = quorum_messages.Vote(heir.term + 1)
@@ -936,15 +936,15 @@
     for node in nodes:
         # As if none had been heard for long.
         node._become_follower(None)
-        node._heard_at -= 10.0
-        node._stands_after = float("-inf")
+        node._last_contact_at -= 10.0
+        node._no_election_before = float("-inf")
     first, second = rng.sample(nodes, 2)
-    heard_at = second._heard_at
-    stands = [asyncio.create_task(first._stand(False))]
+    heard_at = second._last_contact_at
+    stands = [asyncio.create_task(first._run_election(False))]
     await asyncio.sleep(rng.uniform(0.0, apart_s))
     # One that has voted meanwhile would wait, as the loop that stands does.
-    if second._heard_at == heard_at:
-        stands.append(asyncio.create_task(second._stand(False)))
+    if second._last_contact_at == heard_at:
+        stands.append(asyncio.create_task(second._run_election(False)))
     led: set[tuple[str, int]] = set()
     ends_at = asyncio.get_running_loop().time() + NO_LEADER_S
     while asyncio.get_running_loop().time() < ends_at:
@@ -1010,7 +1010,7 @@
         await asyncio.sleep(0.004)
         return pre
 
-    node._ask_votes = always_split
+    node._request_votes = always_split
     await asyncio.sleep(2.0)
     before = node.term
     await asyncio.sleep(6.0)
@@ -1489,7 +1489,7 @@
 
 
 # Each switches a guard off: its name, its scenario, what it patches.
-_IS_SILENT = quorum.Node._is_silent
+_IS_SILENT = quorum.Node._is_unresponsive
 _ANSWERS_AT_ONCE = (quorum.Node, "_check_loaded", lambda _: None)
 MUTANTS = (
     (
@@ -1520,12 +1520,12 @@
     (
         "tell two candidates that they would win",
         "won_leads_last",
-        (quorum.Node, "_takes_turn", lambda *_: True),
+        (quorum.Node, "_reserve_pre_vote", lambda *_: True),
     ),
     (
         "stand on after a vote for another",
         "slow_votes_end_stands",
-        (quorum.Node, "_still_stands", lambda *_: True),
+        (quorum.Node, "_election_still_valid", lambda *_: True),
     ),
     (
         "lead early by a majority",
@@ -1542,7 +1542,7 @@
     (
         "end writes with their callers",
         "caller_gone_in_append",
-        (quorum.Node, "_to_its_end", _with_its_caller),
+        (quorum.Node, "_run_to_completion", _with_its_caller),
     ),
     (
         "as many voters as seeds",
@@ -1563,14 +1563,14 @@
     (
         "never ask again who was let go",
         "spare_takes_a_place",
-        (quorum.Node, "_is_left_out", lambda _: False),
+        (quorum.Node, "_may_have_been_removed", lambda _: False),
     ),
     (
         "wait for a learner for ever",
         "disk_lost_twice",
         (
             quorum.Node,
-            "_is_silent",
+            "_is_unresponsive",
             lambda node, member: member not in node.config.learners
             and _IS_SILENT(node, member),
         ),
@@ -1578,7 +1578,7 @@
     (
         "let one data centre hold the majority",
         "lost_datacentre",
-        (quorum.Node, "_crowded_voter", lambda *_: None),
+        (quorum.Node, "_overrepresented_voter", lambda *_: None),
     ),
 )
 
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -23,13 +23,13 @@
 CALLS = 500
 
 
-class _Told(quorum.Witness):
+class _Told(quorum.ElectionObserver):
     """Keeps what one replica tells."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
 
-    def saw(self, what: str, fields: dict[str, object]) -> None:
+    def on_election_event(self, what: str, fields: dict[str, object]) -> None:
         self.lines.append((what, fields))
 
     def of(self, kind: str, **wanted: object) -> list[dict]:
@@ -48,7 +48,7 @@
     await asyncio.sleep(1.0)
     told = {}
     for address, node in replicas.node_by_address.items():
-        node.witness = told[address] = _Told()
+        node.election_observer = told[address] = _Told()
     return replicas, told
 
 
@@ -88,7 +88,7 @@
         if node is not leader
     )
     term = leader.term
-    await node._stand(False)
+    await node._run_election(False)
     faults = []
     stands = told[node.member.address].of("stand", end="pre-vote failed")
     if len(stands) != 1:
@@ -125,7 +125,7 @@
         _spin(BLOCKED_S)
         gc.collect()
         # Before the loop could look at how late it is.
-        vitals.saw("role", {"is": "no longer leads"})
+        vitals.on_election_event("role", {"is": "no longer leads"})
         await asyncio.sleep(1.0)
     return observe.as_text(metrics.snapshot())
 
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -351,7 +351,7 @@
         """
         gives_up_at = self._clock.now() + hold_s
         while not self._node.holds_lease():
-            known = self._node.hears_leader and not self._node.is_leader
+            known = self._node.has_leader_contact and not self._node.is_leader
             if known or self._clock.now() >= gives_up_at:
                 break
             await self._clock.sleep(HOLD_POLL_S)
@@ -366,7 +366,7 @@
         """Forward a call to the leader, at most over one hop."""
         leader = self._node.leader
         mine = leader is None or leader.address == self._address
-        if mine or request.relayed or not self._node.hears_leader:
+        if mine or request.relayed or not self._node.has_leader_contact:
             raise self._node.not_leader()
         relayed = _relayed(request)
         return await self._transport.call(
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -242,7 +242,7 @@
                 else settings.domain
             ),
         )
-        self.node.witness = self.process_monitor
+        self.node.election_observer = self.process_monitor
         self.placer = placement.Placer(
             _NodeLeadership(self.node),
             lambda: self.machine.view,
@@ -317,7 +317,7 @@
         """
         current = self.machine.view.routes.table.version
         if table.version <= current and self.node.is_leader:
-            await self.node.confirm_lead(CONFIRM_TIMEOUT_S)
+            await self.node.confirm_leadership(CONFIRM_TIMEOUT_S)
             return catalogue.VersionReply(current, False)
         replace = catalogue.ReplaceRoutes(table, document)
         return await self._propose(catalogue.Command(replace_routes=replace))
@@ -339,7 +339,7 @@
         Raises:
             NotLeaderError: this replica could not confirm that it leads.
         """
-        await self.node.confirm_lead(CONFIRM_TIMEOUT_S)
+        await self.node.confirm_leadership(CONFIRM_TIMEOUT_S)
         return self.machine.routes_document
 
     async def _propose(
--- a/libs/daemon/src/bergamotsail/daemon/_vitals.py
+++ b/libs/daemon/src/bergamotsail/daemon/_vitals.py
@@ -51,7 +51,7 @@
             self.paused_s += now - self._gc_started_at
 
 
-class ProcessMonitor(quorum.Witness):
+class ProcessMonitor(quorum.ElectionObserver):
     """Logs resource use of this process; an async context manager.
 
     Adds it to each election event. Once a second it records the largest
@@ -91,7 +91,7 @@
         await self._background.stop()
         self._stack.close()
 
-    def saw(self, what: str, fields: dict[str, object]) -> None:
+    def on_election_event(self, what: str, fields: dict[str, object]) -> None:
         """Log an election event with the resource use of this process."""
         observe.log_event("quorum", what, **fields, **self.resource_use())
 
--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -88,11 +88,11 @@
         return LEADER_SUSPICION * self.election_s
 
 
-class Witness(abc.ABC):
+class ElectionObserver(abc.ABC):
     """Receives role changes, election results and vote requests."""
 
     @abc.abstractmethod
-    def saw(self, what: str, fields: dict[str, object]) -> None:
+    def on_election_event(self, what: str, fields: dict[str, object]) -> None:
         """Handle an event without blocking.
 
         Args:
@@ -102,10 +102,10 @@
         """
 
 
-class NullElectionObserver(Witness):
+class NullElectionObserver(ElectionObserver):
     """Ignores all events."""
 
-    def saw(self, what: str, fields: dict[str, object]) -> None:
+    def on_election_event(self, what: str, fields: dict[str, object]) -> None:
         pass
 
 
@@ -160,7 +160,7 @@
         self.commit = 0
         self.applied = 0
         self.error: BaseException | None = None
-        self.witness: Witness = NullElectionObserver()
+        self.election_observer: ElectionObserver = NullElectionObserver()
         self._address = address
         self._seeds = tuple(seeds)
         self._storage = storage
@@ -175,8 +175,8 @@
         self._vote = _messages.Vote()
         self._log = _log.Log()
         self._synced_index = 0
-        self._heard_at = 0.0
-        self._stands_after = float("-inf")
+        self._last_contact_at = 0.0
+        self._no_election_before = float("-inf")
         self._leader_seen = False
         self._vote_answer_by_name: dict[str, str] = {}
         self._transfer_term = -1
@@ -241,13 +241,13 @@
             (_messages.SNAPSHOT, self.on_snapshot),
             (_messages.FORM, self.on_form),
         ):
-            uncancellable = functools.partial(self._to_its_end, handler)
+            uncancellable = functools.partial(self._run_to_completion, handler)
             server.serve(call, uncancellable)
         server.serve(_messages.LEAD, self.on_lead)
         server.serve(_messages.HELLO, self.on_hello)
         server.serve(_messages.JOIN, self.on_join)
 
-    async def _to_its_end(
+    async def _run_to_completion(
         self,
         work: collections.abc.Callable[..., collections.abc.Awaitable],
         *args: object,
@@ -337,7 +337,7 @@
         return await self._wait_applied(index)
 
     @property
-    def hears_leader(self) -> bool:
+    def has_leader_contact(self) -> bool:
         """Whether this replica leads or had recent contact with a leader.
 
         A leader that has been silent for longer is probably lost, and a
@@ -345,7 +345,7 @@
         """
         if self.role is Role.LEADER:
             return True
-        heard_s = self._clock.now() - self._heard_at
+        heard_s = self._clock.now() - self._last_contact_at
         return (
             self.leader is not None and heard_s < self._timing.suspect_after_s
         )
@@ -358,14 +358,14 @@
                 retry_after_s=1.0,
             )
         known = self.leader is not None and self.leader.id != self._me.id
-        known = known and self.hears_leader
+        known = known and self.has_leader_contact
         return wire.NotLeaderError(
             f"Replica {self.name} is not the leader. Ask the leader.",
             retry_after_s=self._timing.election_s,
             use=self.leader.address if known else None,
         )
 
-    async def confirm_lead(self, timeout_s: float) -> None:
+    async def confirm_leadership(self, timeout_s: float) -> None:
         """Confirm leadership with a new round of calls to a majority.
 
         A read that follows is linearizable without relying on clocks.
@@ -490,7 +490,7 @@
             await self._steps.reach(wire.Step.VOTE, wire.Phase.BEFORE)
             if request.term > self.term:
                 self._become_follower(None, "voted for another candidate")
-            self._heard_at = self._clock.now()
+            self._last_contact_at = self._clock.now()
             await self._save_vote(
                 _messages.Vote(request.term, request.candidate)
             )
@@ -510,7 +510,7 @@
                 return self._append_reply(False)
             await self._merge_entries(request.entries)
             await self._flush_locked()
-            self._heard_at = self._clock.now()
+            self._last_contact_at = self._clock.now()
             last = request.prev_index + len(request.entries)
             self._move_commit(min(request.commit, last))
             await self._steps.reach(wire.Step.ACK, wire.Phase.BEFORE)
@@ -538,7 +538,7 @@
             self._incoming = (piece.meta, piece.number + 1)
             if piece.last:
                 await self._install(piece.meta)
-            self._heard_at = self._clock.now()
+            self._last_contact_at = self._clock.now()
             return self._append_reply(True)
 
     async def on_lead(self, request: _messages.LeadRequest) -> _messages.Empty:
@@ -592,7 +592,7 @@
 
         The reason is for log lines only; no code depends on it.
         """
-        heard_s = self._clock.now() - self._heard_at
+        heard_s = self._clock.now() - self._last_contact_at
         within_timeout = (
             heard_s < self._timing.election_s and not request.transfer
         )
@@ -612,7 +612,7 @@
         if (request.last_term, request.last_index) < own_last:
             return "log behind"
         if request.pre:
-            reserved = self._takes_turn(request.candidate)
+            reserved = self._reserve_pre_vote(request.candidate)
             return "" if reserved else "another's turn"
         vote_available = self._vote.voted_for in (None, request.candidate)
         return "" if request.term > self.term or vote_available else "voted"
@@ -632,17 +632,17 @@
             transfer_current = self._transfer_term == self.term
             transfer = self._election_requested.is_set() and transfer_current
             self._election_requested.clear()
-            heard_s = self._clock.now() - self._heard_at
+            heard_s = self._clock.now() - self._last_contact_at
             if heard_s < wait_s and not transfer:
                 continue
-            if self._clock.now() < self._stands_after and not transfer:
+            if self._clock.now() < self._no_election_before and not transfer:
                 continue
             if self.role is Role.FAILED:
                 continue
             if not self.config.has_voter(self._me.id):
                 continue
             with contextlib.suppress(wire.ServingError, _disk.DiskError):
-                await self._stand(transfer)
+                await self._run_election(transfer)
 
     async def _run_early_elections(self) -> None:
         """Run elections that need all votes, before the election timeout.
@@ -655,7 +655,7 @@
         pause_s = self._timing.election_s * self._rng.uniform(
             0, EARLY_ELECTION_JITTER
         )
-        deadline = self._heard_at + self._timing.election_s
+        deadline = self._last_contact_at + self._timing.election_s
         while not self._leader_seen and self._clock.now() < deadline:
             await self._clock.sleep(pause_s)
             pause_s = self._timing.election_s * EARLY_ELECTION_RETRY
@@ -663,7 +663,7 @@
             if self._leader_seen or self.role is not Role.FOLLOWER:
                 return
             with contextlib.suppress(wire.ServingError, _disk.DiskError):
-                await self._stand(False, unanimous=True)
+                await self._run_election(False, unanimous=True)
                 if self.role is Role.LEADER:
                     return
 
@@ -672,7 +672,9 @@
             await self._clock.sleep(self._timing.heartbeat_s)
             return
         now = self._clock.now()
-        left_s = max(self._heard_at + wait_s, self._stands_after) - now
+        left_s = (
+            max(self._last_contact_at + wait_s, self._no_election_before) - now
+        )
         await wire.wait_event(
             self._election_requested, max(left_s, self._timing.heartbeat_s)
         )
@@ -685,16 +687,18 @@
             )
             self._become_follower(None, f"no majority for {silent_s:.3f} s")
 
-    async def _stand(self, transfer: bool, unanimous: bool = False) -> None:
+    async def _run_election(
+        self, transfer: bool, unanimous: bool = False
+    ) -> None:
         logging.info(
             "quorum: Starting election. "
             "term=%d heard_s=%.3f transfer=%s unanimous=%s",
             self.term,
-            self._clock.now() - self._heard_at,
+            self._clock.now() - self._last_contact_at,
             transfer,
             unanimous,
         )
-        term, last_contact_at = self.term, self._heard_at
+        term, last_contact_at = self.term, self._last_contact_at
         self._vote_answer_by_name.clear()
         if transfer:
             # Contact with the leader that requested the transfer must not
@@ -706,12 +710,13 @@
             )
             if unanimous:
                 return
-            self._heard_at = max(
-                self._heard_at, self._clock.now() - self._timing.election_s
+            self._last_contact_at = max(
+                self._last_contact_at,
+                self._clock.now() - self._timing.election_s,
             )
             return
         async with self._lock:
-            if not self._still_stands(term, last_contact_at):
+            if not self._election_still_valid(term, last_contact_at):
                 self._emit_election_result(
                     "overtaken in pre-vote", last_contact_at, unanimous
                 )
@@ -721,7 +726,7 @@
             await self._save_vote(_messages.Vote(self.term + 1, self._me.id))
             term = self.term
         asked_at = self._clock.now()
-        won = await self._ask_votes(False, transfer, unanimous)
+        won = await self._request_votes(False, transfer, unanimous)
         async with self._lock:
             still_candidate = self.role is Role.CANDIDATE and self.term == term
             end = (
@@ -740,11 +745,11 @@
 
     async def _passes_pre_vote(self, unanimous: bool) -> bool:
         """Run the pre-vote; it does not increase the term."""
-        if not self._takes_turn(self._me.id):
+        if not self._reserve_pre_vote(self._me.id):
             return False
-        return await self._ask_votes(True, False, unanimous)
+        return await self._request_votes(True, False, unanimous)
 
-    def _takes_turn(self, candidate: str) -> bool:
+    def _reserve_pre_vote(self, candidate: str) -> bool:
         """Reserve this replica's pre-vote; False if another candidate has it.
 
         Of candidates with almost simultaneous elections only one passes the
@@ -761,7 +766,7 @@
         self._pre_vote_until = now + self._timing.election_s * PRE_VOTE_HOLD
         return True
 
-    def _still_stands(self, term: int, last_contact_at: float) -> bool:
+    def _election_still_valid(self, term: int, last_contact_at: float) -> bool:
         """Whether an election may go on after its pre-vote.
 
         A vote granted, contact with a leader or a new term during the
@@ -771,7 +776,7 @@
         """
         if self.role is not Role.FOLLOWER or self.term != term:
             return False
-        return self._heard_at <= last_contact_at
+        return self._last_contact_at <= last_contact_at
 
     def _back_off(self) -> None:
         """Back off at random after a lost election.
@@ -780,9 +785,9 @@
         vote for ever.
         """
         pause_s = self._timing.election_s * self._rng.uniform(0.1, 1.2)
-        self._stands_after = self._clock.now() + pause_s
+        self._no_election_before = self._clock.now() + pause_s
 
-    async def _ask_votes(
+    async def _request_votes(
         self, pre: bool, transfer: bool, unanimous: bool
     ) -> bool:
         term = self.term + 1 if pre else self.term
@@ -834,7 +839,7 @@
             return 0
         self._vote_answer_by_name[peer.name] = reply.why or "granted"
         if reply.term > self.term and not reply.granted:
-            await self._to_its_end(self._learn_term, reply.term)
+            await self._run_to_completion(self._learn_term, reply.term)
         return int(reply.granted)
 
     async def _learn_term(self, term: int) -> None:
@@ -863,7 +868,7 @@
             self._emit_role_change("follows", f"heard from {leader.name}")
         self.leader = leader
         self._leader_seen = True
-        self._heard_at = self._clock.now()
+        self._last_contact_at = self._clock.now()
         return True
 
     def _become_follower(self, leader: Member | None, why: str = "") -> None:
@@ -881,7 +886,7 @@
             self._emit_role_change(
                 "no longer leads", why, self._ack_age_by_name()
             )
-            self._heard_at = self._clock.now()
+            self._last_contact_at = self._clock.now()
             self._fail_waiters()
             self._stop_replicators()
 
@@ -917,12 +922,12 @@
             "is": what,
             "why": why,
             "term": self.term,
-            "heard_s": round(now - self._heard_at, 3),
+            "heard_s": round(now - self._last_contact_at, 3),
             "answered_s": answered_s,
             "last": self.last_index,
             "commit": self.commit,
         }
-        self.witness.saw("role", fields)
+        self.election_observer.on_election_event("role", fields)
 
     def _ack_age_by_name(self) -> dict[str, float]:
         """Return the age of the last answered call to each peer, by name.
@@ -939,7 +944,9 @@
     def _emit_election_result(
         self, end: str, last_contact_at: float, unanimous: bool
     ) -> None:
-        heard_s = self._clock.now() - min(last_contact_at, self._heard_at)
+        heard_s = self._clock.now() - min(
+            last_contact_at, self._last_contact_at
+        )
         fields = {
             "end": end,
             "term": self.term,
@@ -947,7 +954,7 @@
             "unanimous": unanimous,
             "answers": dict(self._vote_answer_by_name),
         }
-        self.witness.saw("stand", fields)
+        self.election_observer.on_election_event("stand", fields)
 
     def _emit_vote_request(
         self, request: _messages.VoteRequest, why: str
@@ -960,7 +967,7 @@
             "term": self.term,
             "refused": why or None,
         }
-        self.witness.saw("ballot", fields)
+        self.election_observer.on_election_event("ballot", fields)
 
     def _fail_waiters(self) -> None:
         for waiter in self._waiter_by_index.values():
@@ -1033,12 +1040,14 @@
         # The process before the restart may have had contact with a leader,
         # which relies on its lease. Count the wait from the start of this
         # process: there was no contact after that.
-        self._heard_at = self._clock.now()
+        self._last_contact_at = self._clock.now()
         if self._started_at is not None:
-            self._heard_at = min(self._heard_at, self._started_at)
+            self._last_contact_at = min(
+                self._last_contact_at, self._started_at
+            )
             # Keep replicas that start together from simultaneous elections.
             spread_s = self._timing.election_s * START_JITTER
-            self._stands_after = self._clock.now() + self._rng.uniform(
+            self._no_election_before = self._clock.now() + self._rng.uniform(
                 0.0, spread_s
             )
         self._loaded = True
@@ -1204,7 +1213,7 @@
         self, reply: _messages.AppendReply, term: int
     ) -> bool:
         if reply.term > self.term:
-            await self._to_its_end(self._learn_term, reply.term)
+            await self._run_to_completion(self._learn_term, reply.term)
         return self.role is Role.LEADER and self.term == term
 
     def _quorum_acked_at(self) -> float:
@@ -1307,19 +1316,22 @@
             if self._forms and not self.config.voters:
                 await self._form_if_first_seed()
             await self._clock.sleep(JOIN_INTERVAL_S)
-            if self.config.has_voter(self._me.id) and not self._is_left_out():
+            if (
+                self.config.has_voter(self._me.id)
+                and not self._may_have_been_removed()
+            ):
                 continue
             for seed in self._seeds:
                 if seed != self._address and await self._request_join(seed):
                     break
 
-    def _is_left_out(self) -> bool:
+    def _may_have_been_removed(self) -> bool:
         """Whether this replica may have been removed while it was away.
 
         A removed replica is not notified: its own configuration still lists
         it as a voter.
         """
-        heard_s = self._clock.now() - self._heard_at
+        heard_s = self._clock.now() - self._last_contact_at
         return self.role is not Role.LEADER and (
             heard_s >= self._timing.election_s
         )
@@ -1404,7 +1416,7 @@
         """
         if self._has_voter_slot(self.config, member):
             return True
-        removed = self._silent_voter() or self._crowded_voter(member)
+        removed = self._silent_voter() or self._overrepresented_voter(member)
         if removed is None:
             return False
 
@@ -1416,15 +1428,15 @@
         await self._change(without)
         return True
 
-    def _is_silent(self, member: Member) -> bool:
+    def _is_unresponsive(self, member: Member) -> bool:
         silent_s = self._clock.now() - self._acked_by_peer.get(member.id, 0.0)
         return member.id != self._me.id and silent_s > VOTER_TIMEOUT_S
 
     def _silent_voter(self) -> Member | None:
-        silent = filter(self._is_silent, self.config.voters)
+        silent = filter(self._is_unresponsive, self.config.voters)
         return next(silent, None)
 
-    def _crowded_voter(self, member: Member) -> Member | None:
+    def _overrepresented_voter(self, member: Member) -> Member | None:
         """Return a voter to replace for a better spread over the domains.
 
         It is of the domain with most voters, which has at least two more
@@ -1452,7 +1464,7 @@
         while self._match_by_peer.get(member.id, 0) < self.commit:
             if not self.is_leader:
                 raise self.not_leader()
-            if self._is_silent(member):
+            if self._is_unresponsive(member):
                 raise wire.PeerLostError(f"{member.name} does not answer.")
             await self._clock.sleep(self._timing.heartbeat_s / 4)
 
