--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -468,7 +468,9 @@
 
     async def run() -> int:
         transport = _NobodyLeads()
-        daemons = [_places.Places(_session(83), transport) for _ in range(83)]
+        daemons = [
+            _places.PlacementClient(_session(83), transport) for _ in range(83)
+        ]
         asking = [
             asyncio.create_task(places.take(_place_request(number)))
             for places in daemons
@@ -480,7 +482,7 @@
     loop = looptime.new_event_loop()
     with contextlib.closing(loop):
         calls = loop.run_until_complete(run())
-    most = 2 * _places.MOST_ASKS_PER_S + 83 * _places.LEAST_BURST
+    most = 2 * _places.MAX_ASKS_PER_S + 83 * _places.MIN_BURST
     return [] if calls <= most else [f"{calls} calls in 2 s"]
 
 
@@ -499,7 +501,7 @@
         began_at = loop.time()
         session = _session(83)
         session.silent_s.side_effect = lambda: loop.time() - began_at
-        places = _places.Places(session, _NobodyLeads())
+        places = _places.PlacementClient(session, _NobodyLeads())
         held = []
 
         async def ask(number: int) -> None:
@@ -566,7 +568,7 @@
         session.digest.target_by_id = {info.id: info for info in infos}
         session.view.named_version.return_value = 7
         survey = _survey.Survey(ask, random.Random(1))
-        places = _places.Places(
+        places = _places.PlacementClient(
             session, _NobodyLeads(), survey=survey if asks else None
         )
         await asyncio.sleep(2.0)
@@ -630,7 +632,7 @@
 
     async def run() -> list[int]:
         transport = _Asked()
-        places = _places.Places(_session(83), transport)
+        places = _places.PlacementClient(_session(83), transport)
         late = [
             dataclasses.replace(_place_request(n), waited_s=1.5)
             for n in range(10)
--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -163,7 +163,7 @@
         return ()
 
 
-class _Answer(routing.CallerAnswer):
+class _Answer(routing.AnswerWriter):
     """Takes an answer."""
 
     def __init__(self) -> None:
@@ -207,8 +207,8 @@
         self.forwarder = routing.Forwarder(
             self.session,
             self.places,
-            routing.ServiceChoice(datacentre, random.Random(number)),
-            routing.RepeatBudgets(10.0, 1e6, lambda: 3),
+            routing.ServiceBalancer(datacentre, random.Random(number)),
+            routing.ResendBudgets(10.0, 1e6, lambda: 3),
             world.make_http(number),
             world.dialect,
             observe.Metrics(),
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -100,7 +100,7 @@
             server, control.HEARTBEAT, placement.PLACE, placement.RELEASE
         )
         survey = routing.Survey(fleet.ask, fleet.rng)
-        self.places = routing.Places(
+        self.places = routing.PlacementClient(
             self.session, transport, wire.LoopClock(), survey
         )
         self.session.attach(self)
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -527,7 +527,7 @@
 async def _budget_history(rng: random.Random) -> list[str]:
     ratio, slack, count = 0.14, 36.0, rng.randrange(1, 10)
     daemons = [
-        routing.RepeatBudgets(ratio, slack, lambda: count)
+        routing.ResendBudgets(ratio, slack, lambda: count)
         for _ in range(count)
     ]
     requests: list[float] = []
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -519,14 +519,14 @@
         "at the moment of sending",
         "leaving_while_a_place_is_waited_for",
         routing.Forwarder,
-        "_check_open",
+        "_check_accepting",
         lambda *_: None,
     ),
     (
         "waiting",
         "all_paused",
         routing.Forwarder,
-        "_pauses_s",
+        "_remaining_pauses_s",
         lambda *_: [math.inf],
     ),
 )
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -499,7 +499,7 @@
     (
         "never refuse",
         "comes_again",
-        (_fatal.FatalGuard, "check", lambda *_: None),
+        (_fatal.QuarantineGuard, "check", lambda *_: None),
     ),
     (
         "keep nothing in the log",
@@ -524,7 +524,7 @@
     (
         "never clear",
         "popular_in_a_rack",
-        (_fatal.FatalGuard, "served", lambda *_: None),
+        (_fatal.QuarantineGuard, "served", lambda *_: None),
     ),
     (
         "run copies side by side",
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -697,7 +697,9 @@
         chunk.stream_id,
         chunk.number,
     )
-    return routing.Part(chunk.text, chunk.adapter, attempt.point, chunk.end)
+    return routing.AnswerPart(
+        chunk.text, chunk.adapter, attempt.point, chunk.end
+    )
 
 
 @contextlib.contextmanager
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -178,7 +178,8 @@
             self.session.kick,
             routing.AdmissionSettings(
                 **dataclasses.asdict(settings.admission),
-                promised_s=settings.http.default_deadline_s + lease.lease_s,
+                usual_run_bound_s=settings.http.default_deadline_s
+                + lease.lease_s,
             ),
             dependencies.clock,
         )
@@ -201,7 +202,7 @@
             self.admission,
             self.owners,
             dependencies.transport,
-            routing.routing_named(settings.routing),
+            routing.make_routing(settings.routing),
             self.metrics,
             dependencies.clock,
         )
@@ -214,7 +215,9 @@
             dependencies.steps,
             dependencies.wall_s,
         )
-        self.where = routing.Where(self.session, settings.answer_keep_s)
+        self.where = routing.AddressLookup(
+            self.session, settings.answer_keep_s
+        )
 
     async def __aenter__(self) -> "Daemon":
         components = (self.node, self._coordinator, self.owners, self.session)
--- a/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
@@ -263,7 +263,7 @@
             await self.flush()
 
     def _encode_event(
-        self, part: routing.Part, request: str, chat: bool
+        self, part: routing.AnswerPart, request: str, chat: bool
     ) -> bytes:
         reason = "stop" if part.end else None
         content = (
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -353,7 +353,7 @@
 
     def __init__(
         self,
-        places: routing.Places,
+        places: routing.PlacementClient,
         on_change: collections.abc.Callable[[], None],
     ) -> None:
         self._places = places
@@ -447,16 +447,18 @@
             return make_engine(instance).report()
 
         survey = routing.Survey(fetch_report, wire.own_luck(settings.name))
-        self._places = routing.Places(self.session, transport, clock, survey)
+        self._places = routing.PlacementClient(
+            self.session, transport, clock, survey
+        )
         self.session.attach(_EntryParticipant(self._places, on_change))
         self._address = caller_address
         self.forwarder = routing.Forwarder(
             self.session,
             self._places,
-            routing.ServiceChoice(
+            routing.ServiceBalancer(
                 settings.datacentre, wire.own_luck(settings.name), clock
             ),
-            routing.RepeatBudgets(
+            routing.ResendBudgets(
                 budget.ratio,
                 budget.slack,
                 lambda: len(self.session.daemon_by_boot),
--- a/libs/routing/src/bergamotsail/routing/_admission.py
+++ b/libs/routing/src/bergamotsail/routing/_admission.py
@@ -30,7 +30,7 @@
         max_active: maximum number of requests of all members, queued ones
             included.
         max_wait_s: maximum time in the queue.
-        promised_s: usual bound on the remaining run time of admitted
+        usual_run_bound_s: usual bound on the remaining run time of admitted
             requests that is announced to the leader. A request with a later
             deadline waits until the leader has confirmed a later bound.
     """
@@ -38,7 +38,7 @@
     max_waiting: int = 200
     max_active: int = 2000
     max_wait_s: float = 10.0
-    promised_s: float = 33.0
+    usual_run_bound_s: float = 33.0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -263,7 +263,7 @@
             for queue in self._waiting_by_member.values()
             for waiting in queue
         ]
-        usual = now + self._settings.promised_s
+        usual = now + self._settings.usual_run_bound_s
         self._sent_bound = max([usual, *self._deadlines, *waiting])
         self._confirmed_bound = min(self._confirmed_bound, self._sent_bound)
         return self._sent_bound - now
--- a/libs/routing/src/bergamotsail/routing/_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_choice.py
@@ -170,7 +170,7 @@
         return Choice(chosen, "least loaded")
 
 
-def routing_named(name: str) -> Routing:
+def make_routing(name: str) -> Routing:
     """Return a new routing policy by name.
 
     Raises:
--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_entry.py
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class AnswerPart:
     """A part of the answer to the caller.
 
     Args:
@@ -129,7 +129,7 @@
 
     async def complete(
         self, caller: Caller, completion: Completion
-    ) -> collections.abc.AsyncIterator[Part]:
+    ) -> collections.abc.AsyncIterator[AnswerPart]:
         """Yield the answer in parts; the last one has ``end`` set.
 
         Raises:
@@ -192,7 +192,7 @@
 
     def _record(
         self,
-        part: Part,
+        part: AnswerPart,
         attempt: "_Attempt",
         started_at: float,
         last_at: float,
@@ -212,7 +212,7 @@
 
     async def _answer(
         self, attempt: "_Attempt"
-    ) -> collections.abc.AsyncIterator[Part]:
+    ) -> collections.abc.AsyncIterator[AnswerPart]:
         """Try targets until one answers, then resume its stream on failure."""
         completion = attempt.completion
         if completion.resume is not None:
@@ -286,7 +286,7 @@
 
     async def _attempt(
         self, attempt: "_Attempt", tried: set[str]
-    ) -> collections.abc.AsyncIterator[Part]:
+    ) -> collections.abc.AsyncIterator[AnswerPart]:
         target, owner = self._route(attempt, tried)
         tried.add(target)
         point = attempt.point
@@ -334,7 +334,7 @@
         attempt: "_Attempt",
         request: placement.RunRequest,
         chunk: targets.Chunk,
-    ) -> Part | None:
+    ) -> AnswerPart | None:
         """Return a chunk as a part, or None if it is stale or foreign.
 
         Raises:
@@ -358,7 +358,7 @@
             chunk.stream_id,
             chunk.number,
         )
-        return Part(chunk.text, chunk.adapter, attempt.point, chunk.end)
+        return AnswerPart(chunk.text, chunk.adapter, attempt.point, chunk.end)
 
     def _route(
         self, attempt: "_Attempt", tried: set[str]
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -64,7 +64,7 @@
         return self.ends < quarantine.MAX_ENDS
 
 
-class FatalGuard:
+class QuarantineGuard:
     """Enforces quarantine and reports how runs of suspected requests end."""
 
     def __init__(
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -51,7 +51,7 @@
 MAX_TRACKED_ROUTES = 10_000
 ABORTED = "broken_off"
 
-CallerAnswer = _forward_types.CallerAnswer
+AnswerWriter = _forward_types.AnswerWriter
 CallerRequest = _forward_types.CallerRequest
 Destination = _forward_types.Destination
 Outcome = placement.UseOutcome
@@ -88,7 +88,7 @@
     request: CallerRequest
     route: catalogue.Route
     pool: catalogue.RoutePool
-    answer: CallerAnswer
+    answer: AnswerWriter
     deadline: float
     age_s: float
     avoid: set[str] = dataclasses.field(default_factory=set)
@@ -139,9 +139,9 @@
     def __init__(
         self,
         session: control.Session,
-        places: _places.Places,
-        services: _service_choice.ServiceChoice,
-        budgets: _service_choice.RepeatBudgets,
+        places: _places.PlacementClient,
+        services: _service_choice.ServiceBalancer,
+        budgets: _service_choice.ResendBudgets,
         http: wire.CurlClient,
         dialect: _forward_types.Dialect,
         metrics: observe.Metrics,
@@ -151,7 +151,7 @@
     ) -> None:
         self._rng = rng or random.Random()
         self._session = session
-        self._guard = _fatal.FatalGuard(session, metrics)
+        self._guard = _fatal.QuarantineGuard(session, metrics)
         self._places = places
         self._services = services
         self._budgets = budgets
@@ -167,7 +167,7 @@
         )
 
     async def serve(
-        self, request: CallerRequest, answer: CallerAnswer
+        self, request: CallerRequest, answer: AnswerWriter
     ) -> None:
         """Serve one attempt of a caller.
 
@@ -180,7 +180,7 @@
         )
 
     async def _serve_counted(
-        self, request: CallerRequest, answer: CallerAnswer
+        self, request: CallerRequest, answer: AnswerWriter
     ) -> None:
         self.active += 1
         started_at = self._clock.now()
@@ -217,7 +217,7 @@
             await self._clock.sleep(ROUTES_POLL_S)
 
     def _start_attempt(
-        self, request: CallerRequest, answer: CallerAnswer
+        self, request: CallerRequest, answer: AnswerWriter
     ) -> _Attempt:
         routes = self._session.view.routes
         if routes.table.version == 0:
@@ -357,7 +357,7 @@
         finally:
             self._services.ended(info.id, failed)
 
-    def _pauses_s(self, attempt: _Attempt) -> list[float]:
+    def _remaining_pauses_s(self, attempt: _Attempt) -> list[float]:
         """Return the remaining pause of each target that is not leaving."""
         now = self._clock.now()
         heard = self._session.heard
@@ -369,7 +369,7 @@
 
     def _all_paused(self, attempt: _Attempt) -> bool:
         """Whether all targets that are not leaving are paused."""
-        return min(self._pauses_s(attempt), default=0.0) > 0.0
+        return min(self._remaining_pauses_s(attempt), default=0.0) > 0.0
 
     async def _wait_for_pool(self, attempt: _Attempt) -> None:
         """Wait for the shortest pause if the caller's patience allows it.
@@ -378,7 +378,7 @@
             OverloadError: the pause is too long, or no target is paused.
             _NotAcceptingError: the pause is over; the attempt may be retried.
         """
-        pause_s = min(self._pauses_s(attempt), default=0.0)
+        pause_s = min(self._remaining_pauses_s(attempt), default=0.0)
         if pause_s == 0.0:
             self._abort_or_refuse(attempt, None)
             return
@@ -444,7 +444,7 @@
         )
         outcome = Outcome.LEFT
         try:
-            self._check_open(attempt, place.target)
+            self._check_accepting(attempt, place.target)
         except _NotAcceptingError:
             self._places.give_back(name, place.target, outcome)
             await self._wait_for_engine(attempt, place.target)
@@ -471,7 +471,7 @@
             attempt.on_first_piece = None
             self._places.give_back(name, place.target, outcome)
 
-    def _check_open(self, attempt: _Attempt, target: str) -> None:
+    def _check_accepting(self, attempt: _Attempt, target: str) -> None:
         """Raise if a target is leaving or paused.
 
         The target may have announced this while the request waited for its
@@ -538,7 +538,7 @@
         # The request may have been quarantined, or the target may have
         # announced a pause, while this attempt waited for its placement.
         self._guard.check(attempt.tracked)
-        self._check_open(attempt, destination.target)
+        self._check_accepting(attempt, destination.target)
         request = attempt.request
         attempt.sends += 1
         attempt.sent_at = self._clock.now()
@@ -645,7 +645,7 @@
             )
             error.code = code
             raise _retryable(error, wire.Ran.NOT_RUN)
-        if not reading.own or not reading.genuine:
+        if not reading.own or not reading.has_seal:
             raise _InvalidAnswerError(
                 "The answer is invalid or belongs to another request."
             )
--- a/libs/routing/src/bergamotsail/routing/_forward_types.py
+++ b/libs/routing/src/bergamotsail/routing/_forward_types.py
@@ -107,7 +107,7 @@
     own: bool
     not_run: bool
     absent: bool
-    genuine: bool
+    has_seal: bool
     leaving: targets.Flag = targets.Flag()
     pause: targets.Seconds = targets.Seconds()
 
@@ -130,7 +130,7 @@
         """Return the headers to send to the caller."""
 
 
-class CallerAnswer(abc.ABC):
+class AnswerWriter(abc.ABC):
     """Writer for the answer to a caller."""
 
     @property
--- a/libs/routing/src/bergamotsail/routing/_places.py
+++ b/libs/routing/src/bergamotsail/routing/_places.py
@@ -22,9 +22,9 @@
 MAX_RELEASES_PER_S = 300.0
 # Approximate limit for all daemons together, so that a new leader is not
 # flooded with placement requests.
-MOST_ASKS_PER_S = 600.0
+MAX_ASKS_PER_S = 600.0
 # Burst size of a daemon, however small its share of the rate is.
-LEAST_BURST = 2.0
+MIN_BURST = 2.0
 # A daemon may send at once what it may send in this time.
 BURST_S = 0.5
 # After a leader change a daemon may hold more requests than its rate admits.
@@ -70,7 +70,7 @@
     ) -> None:
         self._per_s = per_s
         self._clock = clock
-        self._tokens = LEAST_BURST
+        self._tokens = MIN_BURST
         self._at = clock.now()
 
     def has_token(self) -> bool:
@@ -86,14 +86,14 @@
         """
         now = self._clock.now()
         per_s = self._per_s()
-        most = max(LEAST_BURST, per_s * BURST_S)
+        most = max(MIN_BURST, per_s * BURST_S)
         grown = self._tokens + (now - self._at) * per_s
         self._at = now
         self._tokens = min(grown, most) - 1.0
         return max(0.0, -self._tokens / per_s)
 
 
-class Places:
+class PlacementClient:
     """Placements in use by this daemon's requests.
 
     An async context manager; while it is entered it sends releases to the
@@ -131,14 +131,14 @@
         # A daemon that has just started has not lost its leader.
         self._leader_heard_at = clock.now()
         self._limiter = AskRateLimiter(
-            lambda: MOST_ASKS_PER_S / self._daemons(), clock
+            lambda: MAX_ASKS_PER_S / self._daemons(), clock
         )
 
     def _daemons(self) -> int:
         """Return the number of daemons, including this one, at least 1."""
         return max(len(self._session.daemon_by_boot), 1)
 
-    async def __aenter__(self) -> "Places":
+    async def __aenter__(self) -> "PlacementClient":
         self._background.start(self._release)
         return self
 
--- a/libs/routing/src/bergamotsail/routing/_service_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_service_choice.py
@@ -30,7 +30,7 @@
             yield info
 
 
-class ServiceChoice:
+class ServiceBalancer:
     """Balances load by this daemon's running requests and recent failures."""
 
     def __init__(
@@ -84,7 +84,7 @@
         )
 
 
-class RepeatBudgets:
+class ResendBudgets:
     """Limits how often requests are sent again, by pool.
 
     All daemons share one budget without coordination: each may use an equal
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -106,7 +106,7 @@
         self._metrics = metrics
         self._clock = clock
         self._steps = steps
-        self._guard = _fatal.FatalGuard(session, metrics)
+        self._guard = _fatal.QuarantineGuard(session, metrics)
         self._budgets = _retries.RetryBudgets(lambda: session.view)
         self._running_by_target: collections.Counter[str] = (
             collections.Counter()
--- a/libs/routing/src/bergamotsail/routing/_where.py
+++ b/libs/routing/src/bergamotsail/routing/_where.py
@@ -10,14 +10,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WhereAnswer:
+class LookupResult:
     """Addresses in order of preference, and how long to cache them."""
 
     addresses: tuple[str, ...]
     keep_s: float
 
 
-class Where:
+class AddressLookup:
     """Answers address look-ups.
 
     Args:
@@ -29,7 +29,7 @@
         self._session = session
         self.keep_s = keep_s
 
-    def look_up(self, name: str, adapter: str = "") -> WhereAnswer:
+    def look_up(self, name: str, adapter: str = "") -> LookupResult:
         """Return where to send requests for a catalogue entry.
 
         Args:
@@ -47,7 +47,7 @@
         addresses = dict.fromkeys(
             daemons[boot] for boot in order if boot in daemons
         )
-        return WhereAnswer(tuple(addresses)[:MAX_ADDRESSES], self.keep_s)
+        return LookupResult(tuple(addresses)[:MAX_ADDRESSES], self.keep_s)
 
     def _owners_of(self, adapter: str) -> collections.abc.Iterator[str]:
         """Yield owners of targets that hold the adapter, by rising load."""
