--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -672,7 +672,7 @@
         for name in ("place", "release", "vote"):
             try:
                 face._check_lag(name)
-            except wire.BehindError:
+            except wire.LoadShedError:
                 found.append(name)
         wanted = ("place", "release") if refused is None else refused
         if tuple(found) != wanted:
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -985,7 +985,7 @@
     """Daemons draw apart though the system gives all the same randomness."""
     same = unittest.mock.patch.object(uuid, "uuid4", lambda: uuid.UUID(int=7))
     with same:
-        draws = {wire.own_luck(f"r{n}").random() for n in range(20)}
+        draws = {wire.make_rng(f"r{n}").random() for n in range(20)}
         names = {wire.fresh_token("r1") for _ in range(20)}
         ids = set()
         for _ in range(5):
@@ -1030,7 +1030,7 @@
     luck: random.Random,
 ) -> daemon.Replica:
     """Return a replica's process on a network in memory; not started."""
-    with unittest.mock.patch.object(wire, "own_luck", lambda _: luck):
+    with unittest.mock.patch.object(wire, "make_rng", lambda _: luck):
         replica = daemon.Replica(
             settings,
             standins.MemoryTransport(network, settings.address),
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -163,7 +163,7 @@
         for _ in range(CALLS):
             try:
                 face._check_lag(call.name)
-            except wire.BehindError:
+            except wire.LoadShedError:
                 continue
     most = 1 + (time.monotonic() - began_at)
     lines = _lines(written, "shed")
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -56,7 +56,7 @@
     daemon: dict = dataclasses.field(default_factory=dict)
 
 
-class FaultSteps(wire.Steps):
+class FaultSteps(wire.FaultInjector):
     """Runs an armed action when its step is first reached."""
 
     def __init__(self, place: "Place") -> None:
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -138,7 +138,7 @@
         list_interval_s: float = 1.0,
         floor: _floor.FloorRaiser | None = None,
         clock: wire.Clock = wire.LoopClock(),
-        steps: wire.Steps = wire.NoSteps(),
+        steps: wire.FaultInjector = wire.NoFaultInjector(),
         use_keeper: UseTracker | None = None,
         metrics: observe.Metrics | None = None,
     ) -> None:
@@ -156,7 +156,7 @@
         self._steps = steps
         self._term = self._new_term(-1, 0.0)
         self._digest = _digest.Digest()
-        self._background = wire.Background()
+        self._background = wire.BackgroundTasks()
 
     async def __aenter__(self) -> "Coordinator":
         if self._use_keeper is not None:
--- a/libs/control/src/bergamotsail/control/_relay.py
+++ b/libs/control/src/bergamotsail/control/_relay.py
@@ -33,7 +33,7 @@
     async def _pass_on(self, call: wire.Call, request: object) -> object:
         direct = not self._session.goes_through_neighbour
         if not (self._session.fresh() and direct):
-            raise wire.CutOffError(
+            raise wire.LeaseLostError(
                 "This instance can't reach the leader directly either.",
                 retry_after_s=1.0,
             )
@@ -47,6 +47,6 @@
             )
         except wire.NotLeaderError as error:
             # The caller can't reach the address in the error.
-            raise wire.CutOffError(
+            raise wire.LeaseLostError(
                 "The leader changed. Retry the call.", retry_after_s=0.1
             ) from error
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -251,7 +251,7 @@
         node: quorum.Node | None = None,
         machine: catalogue.CatalogueMachine | None = None,
         clock: wire.Clock = wire.LoopClock(),
-        steps: wire.Steps = wire.NoSteps(),
+        steps: wire.FaultInjector = wire.NoFaultInjector(),
     ) -> None:
         self.daemon = daemon
         self.digest = _digest.Digest()
@@ -275,7 +275,7 @@
         self._pending_renewals: list[tuple[int, float]] = []
         self._sequence = 0
         self._kicked = asyncio.Event()
-        self._background = wire.Background()
+        self._background = wire.BackgroundTasks()
         self._was_fresh = False
         self._direct_tried_at = float("-inf")
         self._neighbours_tried = 0
@@ -342,7 +342,7 @@
         """Check that the lease is valid.
 
         Raises:
-            CutOffError: the lease has expired.
+            LeaseLostError: the lease has expired.
         """
         if self.fresh():
             return
@@ -351,7 +351,7 @@
             for info in self.digest.daemon_by_boot.values()
             if info.boot != self.boot and not info.leaving
         ]
-        raise wire.CutOffError(
+        raise wire.LeaseLostError(
             "This instance can't reach the leader, so it accepts no requests. "
             "Use another address.",
             retry_after_s=self._timing.lease_s,
@@ -646,9 +646,11 @@
             STATE_TIMEOUT_S,
         )
         assembler = catalogue.EffectAssembler()
-        watched = wire.watched(pieces, _fetch_stalled, STATE_SILENCE_S)
-        async with contextlib.aclosing(watched):
-            async for piece in watched:
+        monitored_stream = wire.monitored_stream(
+            pieces, _fetch_stalled, STATE_SILENCE_S
+        )
+        async with contextlib.aclosing(monitored_stream):
+            async for piece in monitored_stream:
                 index, whole = piece.index, piece.whole
                 joined = [assembler.join(effect) for effect in piece.effects]
                 ready = [effect for effect in joined if effect is not None]
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -42,7 +42,9 @@
     disk: quorum.Disk | None
     rng: random.Random = dataclasses.field(default_factory=random.Random)
     clock: wire.Clock = dataclasses.field(default_factory=wire.LoopClock)
-    steps: wire.Steps = dataclasses.field(default_factory=wire.NoSteps)
+    steps: wire.FaultInjector = dataclasses.field(
+        default_factory=wire.NoFaultInjector
+    )
     wall_s: collections.abc.Callable[[], float] = time.time
 
 
--- a/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -45,7 +45,7 @@
         self._samples: collections.deque[tuple[float, float]]
         self._samples = collections.deque(maxlen=MAX_LAG_SAMPLES)
         self._clock = clock
-        self._background = wire.Background()
+        self._background = wire.BackgroundTasks()
 
     async def __aenter__(self) -> "LoopLag":
         self._background.start(self._watch)
@@ -151,7 +151,7 @@
         max_lag_s = self._server.shed_after_s.get(name)
         if max_lag_s is not None and self._lag.now_s > max_lag_s:
             self._record_shed(name)
-            raise wire.BehindError(
+            raise wire.LoadShedError(
                 "This daemon is overloaded: its event loop lags. Retry.",
                 retry_after_s=self._lag.now_s,
             )
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -230,7 +230,7 @@
             quorum.Storage(disk),
             transport,
             self.machine,
-            wire.own_luck(settings.name),
+            wire.make_rng(settings.name),
             settings.consensus,
             clock,
             forms=forms,
@@ -446,7 +446,7 @@
             )
             return make_engine(instance).report()
 
-        survey = routing.Survey(fetch_report, wire.own_luck(settings.name))
+        survey = routing.Survey(fetch_report, wire.make_rng(settings.name))
         self._places = routing.PlacementClient(
             self.session, transport, clock, survey
         )
@@ -456,7 +456,7 @@
             self.session,
             self._places,
             routing.ServiceBalancer(
-                settings.datacentre, wire.own_luck(settings.name), clock
+                settings.datacentre, wire.make_rng(settings.name), clock
             ),
             routing.ResendBudgets(
                 budget.ratio,
--- a/libs/daemon/src/bergamotsail/daemon/_vitals.py
+++ b/libs/daemon/src/bergamotsail/daemon/_vitals.py
@@ -79,7 +79,7 @@
         self._samples: collections.deque[tuple[float, float, float]]
         self._samples = collections.deque(maxlen=WINDOW_SAMPLES)
         self._work = observe.WorkLog(metrics)
-        self._background = wire.Background()
+        self._background = wire.BackgroundTasks()
         self._stack = contextlib.ExitStack()
 
     async def __aenter__(self) -> "ProcessMonitor":
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -156,7 +156,7 @@
 
         Raises:
             ServingError: the engine gave no report.
-            OtherStartError: the engine was restarted; this record is
+            TargetRestartedError: the engine was restarted; this record is
                 invalid.
         """
         observe.count_message(self._metrics, "report")
@@ -165,7 +165,7 @@
             self._start_time_ms = report.start_time_ms
         if report.start_time_ms not in (None, self._start_time_ms):
             self._started(report.start_time_ms)
-            raise wire.OtherStartError(
+            raise wire.TargetRestartedError(
                 "The engine was restarted. Wait until its state is known."
             )
         return report
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -137,7 +137,7 @@
             {}
         )
         self._store = _engine_orders.StoreLoadLock()
-        self._background = wire.Background()
+        self._background = wire.BackgroundTasks()
         self._removed_targets: set[str] = set()
         self._new_start: collections.abc.Callable[[str, int], None] | None = (
             None
@@ -180,7 +180,7 @@
             self._apply_releases(request.releases)
             self._schedule_soon()
         if len(self._waiters) >= MAX_WAITERS:
-            raise wire.BehindError(
+            raise wire.LoadShedError(
                 "Too many requests are waiting for an engine. Try again.",
                 retry_after_s=RETRY_AFTER_S,
             )
@@ -214,7 +214,7 @@
             return
         self._metrics.count("placements_refused", reason="no_orders_yet")
         self._log_refusal(waiter)
-        raise wire.NoPlaceError(
+        raise wire.NoCapacityError(
             "No adapter can be loaded yet because another instance was "
             "ordering loads a moment ago. Try again later.",
             retry_after_s=wait_s,
@@ -226,7 +226,7 @@
         """Wait for a grant.
 
         Raises:
-            NoPlaceError: ``hope_s`` passed with no load in progress.
+            NoCapacityError: ``hope_s`` passed with no load in progress.
             StillWaitingError: ``patience_s`` passed.
         """
         request = waiter.request
@@ -237,7 +237,7 @@
         if not self._grant_expected(waiter):
             self._metrics.count("placements_refused", reason="no_place")
             self._log_refusal(waiter)
-            raise wire.NoPlaceError(
+            raise wire.NoCapacityError(
                 "No engine can take this request in time. Try again later.",
                 retry_after_s=RETRY_AFTER_S,
             )
--- a/libs/placement/src/bergamotsail/placement/_state.py
+++ b/libs/placement/src/bergamotsail/placement/_state.py
@@ -32,7 +32,7 @@
     settings: _jobs.PlacementSettings
     metrics: observe.Metrics
     clock: wire.Clock
-    steps: wire.Steps
+    steps: wire.FaultInjector
     residents: _residents.Residents
     uses: _counter.DecayingCounter
     queue: _fair_queue.FairQueue = dataclasses.field(
--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -148,7 +148,7 @@
         rng: random.Random,
         timing: Timing = Timing(),
         clock: wire.Clock = wire.LoopClock(),
-        steps: wire.Steps = wire.NoSteps(),
+        steps: wire.FaultInjector = wire.NoFaultInjector(),
         forms: bool = False,
         max_voters: int | None = None,
         started_at: float | None = None,
--- a/libs/routing/src/bergamotsail/routing/_admission.py
+++ b/libs/routing/src/bergamotsail/routing/_admission.py
@@ -162,7 +162,7 @@
 
     Args:
         view: returns the current catalogue.
-        check_lease: raises CutOffError once the daemon's lease has expired.
+        check_lease: raises LeaseLostError once the daemon's lease has expired.
         kick: requests an early heartbeat.
     """
 
@@ -201,7 +201,7 @@
         """Hold a unit of each limit that applies, while inside.
 
         Raises:
-            CutOffError: the lease expired while the request was queued.
+            LeaseLostError: the lease expired while the request was queued.
             LimitError: the member's queue is full, or no unit became
                 available in time.
             OverloadError: too many requests are active.
@@ -391,7 +391,7 @@
         """
         try:
             self._check_lease()
-        except wire.CutOffError as error:
+        except wire.LeaseLostError as error:
             self._refuse_waiting(error)
             return
         for queue in self._waiting_by_member.values():
@@ -402,7 +402,7 @@
                     queue.remove(waiting)
                     waiting.ready.set_result(None)
 
-    def _refuse_waiting(self, error: wire.CutOffError) -> None:
+    def _refuse_waiting(self, error: wire.LeaseLostError) -> None:
         for queue in self._waiting_by_member.values():
             for waiting in queue:
                 if not waiting.ready.done():
--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_entry.py
@@ -237,7 +237,7 @@
     ) -> None:
         """Back off before the next try, or raise the final error."""
         now = self._clock.now()
-        if error.ran is not wire.Ran.NOT_RUN:
+        if error.ran is not wire.RunStatus.NOT_RUN:
             attempt.may_have_run = True
         if attempt.failing_since is None:
             attempt.failing_since = now
@@ -273,15 +273,15 @@
         self._metrics.count("refusals", code=error.code)
         self._log_decision("Refuse", attempt, "-", error.code)
         if attempt.point is None:
-            if attempt.may_have_run and error.ran is wire.Ran.NOT_RUN:
+            if attempt.may_have_run and error.ran is wire.RunStatus.NOT_RUN:
                 # The last try did not run, but an earlier one may have.
-                error.ran = wire.Ran.UNKNOWN
+                error.ran = wire.RunStatus.UNKNOWN
             return error
         return wire.TruncatedError(
             "The answer was truncated and could not be resumed "
             f"({error.code}). Send the request again.",
             retry_after_s=error.retry_after_s or 1.0,
-            ran=wire.Ran.FAILED,
+            ran=wire.RunStatus.FAILED,
         )
 
     async def _attempt(
@@ -306,7 +306,7 @@
         # Stays true if the caller goes away or the deadline passes: the run
         # is then cancelled at its owner, unless the last part was received.
         given_up = True
-        chunks = wire.watched(
+        chunks = wire.monitored_stream(
             self._run(owner, request),
             lambda: self._stop_reason(owner, attempt),
             WATCH_INTERVAL_S,
@@ -449,7 +449,7 @@
             return wire.DeadlineError(
                 "The deadline passed before the answer was complete.",
                 retry_after_s=1.0,
-                ran=wire.Ran.UNKNOWN,
+                ran=wire.RunStatus.UNKNOWN,
             )
         if owner.boot not in self._session.digest.daemon_by_boot:
             return wire.PeerLostError(f"Instance {owner.id} was lost.")
@@ -548,7 +548,7 @@
         wire.DeadlineError,
         wire.TooLargeError,
         wire.QuarantinedError,
-        wire.CutOffError,
+        wire.LeaseLostError,
     )
     if isinstance(error, final):
         return False
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -35,7 +35,7 @@
         member: str,
         pool: str,
         identity: collections.abc.Callable[[], str],
-        ran: collections.abc.Callable[[], wire.Ran],
+        ran: collections.abc.Callable[[], wire.RunStatus],
     ) -> None:
         self.request = request
         self.member = member
@@ -54,7 +54,7 @@
         return self._identity
 
     @property
-    def ran(self) -> wire.Ran:
+    def ran(self) -> wire.RunStatus:
         """Whether this attempt may have run."""
         return self._ran()
 
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -112,7 +112,9 @@
             request.member,
             self.pool.name,
             lambda: request.identity,
-            lambda: wire.Ran.UNKNOWN if self.runs else wire.Ran.NOT_RUN,
+            lambda: (
+                wire.RunStatus.UNKNOWN if self.runs else wire.RunStatus.NOT_RUN
+            ),
         )
 
     def record_piece(self, now: float) -> None:
@@ -289,7 +291,7 @@
     def _time_out(self, attempt: _Attempt) -> None:
         """End an attempt whose deadline has passed."""
         late = wire.DeadlineError(
-            "The target did not answer in time.", ran=wire.Ran.UNKNOWN
+            "The target did not answer in time.", ran=wire.RunStatus.UNKNOWN
         )
         _abort_or_raise(
             attempt, "No target accepted the request before its deadline", late
@@ -404,7 +406,7 @@
         spread_s = pause_s * PAUSE_JITTER * self._rng.random()
         await self._clock.sleep(pause_s + spread_s)
         raise _NotAcceptingError(
-            "The target was paused.", ran=wire.Ran.NOT_RUN
+            "The target was paused.", ran=wire.RunStatus.NOT_RUN
         )
 
     # Engines
@@ -494,7 +496,7 @@
             pause_left_s=round(pause_s, 3),
         )
         raise _NotAcceptingError(
-            "The target is leaving or paused.", ran=wire.Ran.NOT_RUN
+            "The target is leaving or paused.", ran=wire.RunStatus.NOT_RUN
         )
 
     async def _wait_for_engine(self, attempt: _Attempt, target: str) -> None:
@@ -571,7 +573,7 @@
                 await self._relay_answer(attempt, exchange, head)
             self._guard.served(attempt.tracked, destination.target)
         except wire.NotSentError as error:
-            raise _retryable(error, wire.Ran.NOT_RUN) from error
+            raise _retryable(error, wire.RunStatus.NOT_RUN) from error
         except _InvalidAnswerError as error:
             attempt.runs += 1
             self._handle_lost_answer(attempt, error)
@@ -616,7 +618,7 @@
         ):
             attempt.abort()
             return
-        raise _retryable(error, wire.Ran.UNKNOWN) from error
+        raise _retryable(error, wire.RunStatus.UNKNOWN) from error
 
     async def _relay_answer(
         self,
@@ -644,7 +646,7 @@
                 f"The target refused the request: {code}."
             )
             error.code = code
-            raise _retryable(error, wire.Ran.NOT_RUN)
+            raise _retryable(error, wire.RunStatus.NOT_RUN)
         if not reading.own or not reading.has_seal:
             raise _InvalidAnswerError(
                 "The answer is invalid or belongs to another request."
@@ -653,7 +655,7 @@
             if attempt.route.repeatable and self._has_other_target(attempt):
                 attempt.runs += 1
                 error = wire.EngineError("The target failed the request.")
-                raise _retryable(error, wire.Ran.FAILED)
+                raise _retryable(error, wire.RunStatus.FAILED)
         attempt.partial_event = b""
         if not attempt.answer.started:
             attempt.answer.start(head.status, self._dialect.returning(head))
@@ -759,7 +761,9 @@
     return f"{request.model.model}/{request.model.adapter}"
 
 
-def _retryable(error: wire.ServingError, ran: wire.Ran) -> _RetryableError:
+def _retryable(
+    error: wire.ServingError, ran: wire.RunStatus
+) -> _RetryableError:
     following = _RetryableError(error.message, ran=ran)
     following.code = error.code
     return following
--- a/libs/routing/src/bergamotsail/routing/_places.py
+++ b/libs/routing/src/bergamotsail/routing/_places.py
@@ -124,7 +124,7 @@
             maxlen=MAX_QUEUED_RELEASES
         )
         self._wake = asyncio.Event()
-        self._background = wire.Background()
+        self._background = wire.BackgroundTasks()
         self._probing = False
         self._survey_task: asyncio.Task | None = None
         self._retry_now = asyncio.Event()
@@ -157,7 +157,7 @@
         """Request a placement until one is granted or patience runs out.
 
         Raises:
-            NoPlaceError: the leader refused the request.
+            NoCapacityError: the leader refused the request.
             OverloadError: no placement was granted in time.
         """
         started_at = self._clock.now()
@@ -201,13 +201,13 @@
             except wire.StillWaitingError:
                 self._leader_heard_at = self._clock.now()
                 continue
-            except wire.NoPlaceError:
+            except wire.NoCapacityError:
                 self._leader_heard_at = self._clock.now()
                 raise
             except wire.ServingError as error:
                 last = error
                 self._requeue_releases(error, call_request.releases)
-                if isinstance(error, wire.BehindError):
+                if isinstance(error, wire.LoadShedError):
                     self._leader_heard_at = self._clock.now()
                     pause_s = max(pause_s, error.retry_after_s or 0.0)
                 cached = self._cached_placement(request)
@@ -236,7 +236,7 @@
         releases: placement.ReleaseRequest | None,
     ) -> None:
         """Requeue releases that the leader certainly did not process."""
-        unread = (wire.NotSentError, wire.NotLeaderError, wire.BehindError)
+        unread = (wire.NotSentError, wire.NotLeaderError, wire.LoadShedError)
         if releases is not None and isinstance(error, unread):
             self._ended.extendleft(reversed(releases.ended))
             self._begun.extendleft(reversed(releases.begun))
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -96,7 +96,7 @@
         make_service: collections.abc.Callable[[str], targets.Service],
         metrics: observe.Metrics,
         clock: wire.Clock = wire.LoopClock(),
-        steps: wire.Steps = wire.NoSteps(),
+        steps: wire.FaultInjector = wire.NoFaultInjector(),
         wall_s: collections.abc.Callable[[], float] = time.time,
     ) -> None:
         self._wall_s = wall_s
@@ -210,11 +210,11 @@
                     reply.status, _end_to_end(reply.headers), reply.body
                 )
             except wire.ServingError as error:
-                if error.ran is not wire.Ran.NOT_RUN:
+                if error.ran is not wire.RunStatus.NOT_RUN:
                     may_have_run = True
                 elif may_have_run:
                     # This try did not run, but an earlier one may have.
-                    error.ran = wire.Ran.UNKNOWN
+                    error.ran = wire.RunStatus.UNKNOWN
                 pause_s = RETRY_PAUSE_S * number
                 late = self._clock.now() + pause_s >= deadline
                 if number >= MAX_ATTEMPTS or late or not tracked.may_retry:
@@ -277,7 +277,7 @@
             self._guard.check(tracked)
             try:
                 reply = await self._send_to(target, call, deadline, once)
-            except wire.PeerSilentError:
+            except wire.PeerTimeoutError:
                 raise
             except wire.PeerLostError:
                 self._guard.lost(
@@ -402,7 +402,7 @@
                 "will not be run again under this key."
             ) from error
         except wire.ServingError as error:
-            if error.ran is wire.Ran.NOT_RUN:
+            if error.ran is wire.RunStatus.NOT_RUN:
                 state = State.NOT_RUN
             raise
         finally:
@@ -501,7 +501,7 @@
         lambda: quarantine.identity(
             caller.member, call.service, call.method, call.path, call.body
         ),
-        lambda: wire.Ran.NOT_RUN,
+        lambda: wire.RunStatus.NOT_RUN,
     )
 
 
@@ -521,7 +521,7 @@
         raise wire.IdempotencyKeyError(
             "This key has expired, so it is unknown whether the call ran. "
             "Check with the service before using a new key.",
-            ran=wire.Ran.UNKNOWN,
+            ran=wire.RunStatus.UNKNOWN,
         )
     if reply.state is State.OTHER_REQUEST:
         raise wire.KeyReusedError(
