--- a/libs/control/src/bergamotsail/control/_digest.py
+++ b/libs/control/src/bergamotsail/control/_digest.py
@@ -12,7 +12,7 @@
 # Changes in one reply, about 60 kB: a 1 Mbit/s link transfers them in the
 # 0.6 s that a daemon waits for it. All of 3,000 targets in one reply take that
 # long on a 5 Mbit/s link, so no reply of a new leader arrived in time.
-MAX_CHANGES = 400
+MOST_CHANGES = 400
 
 
 class _Table(typing.Generic[Item]):
@@ -142,10 +142,10 @@
 
         No two changes have the same version.
         """
-        if sum(map(len, changes)) <= MAX_CHANGES:
+        if sum(map(len, changes)) <= MOST_CHANGES:
             return self.version
         ordered = heapq.merge(*changes)
-        return next(itertools.islice(ordered, MAX_CHANGES - 1, None))[0]
+        return next(itertools.islice(ordered, MOST_CHANGES - 1, None))[0]
 
 
 class Digest:
