--- a/libs/wire/src/bergamotsail/wire/__init__.py
+++ b/libs/wire/src/bergamotsail/wire/__init__.py
@@ -1,8 +1,8 @@
 """Typed messages, typed errors and transport between processes.
 
 Everything that crosses a process boundary is a frozen dataclass, encoded as
-JSON by :mod:`msgspec`. A daemon sees its peers through
-:class:`PeerTransport` alone, so tests can put an in-memory network there.
+JSON by :mod:`msgspec`. A daemon calls its peers only through
+:class:`PeerTransport`, so tests can replace the network with an in-memory one.
 """
 
 from bergamotsail.wire import _background
--- a/libs/wire/src/bergamotsail/wire/_background.py
+++ b/libs/wire/src/bergamotsail/wire/_background.py
@@ -1,11 +1,11 @@
-"""Tasks that run for as long as their owner does."""
+"""Background tasks that live as long as their owner."""
 
 import asyncio
 import collections.abc
 
 
 class Background:
-    """The tasks of one owner, ended together.
+    """The background tasks of one owner, cancelled together.
 
     Example::
 
@@ -23,11 +23,11 @@
             [], collections.abc.Coroutine[None, None, None]
         ],
     ) -> None:
-        """Run each work in a task of its own."""
+        """Run each coroutine function in its own task."""
         self._tasks += [asyncio.create_task(work()) for work in works]
 
     async def stop(self) -> None:
-        """End the tasks, and wait until they have ended."""
+        """Cancel the tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/libs/wire/src/bergamotsail/wire/_clock.py
+++ b/libs/wire/src/bergamotsail/wire/_clock.py
@@ -1,4 +1,4 @@
-"""Monotonic time, behind an interface so that tests can bend it."""
+"""Monotonic time, behind an interface so that tests can control it."""
 
 import abc
 import asyncio
@@ -9,8 +9,8 @@
 class Clock(abc.ABC):
     """Monotonic seconds and sleeping.
 
-    No decision in this project uses the wall clock, so that a clock step
-    never matters. Leases allow for drift between two clocks.
+    Leases and timeouts don't use the wall clock, so a clock step has no
+    effect on them. Leases allow for drift between two clocks.
     """
 
     @abc.abstractmethod
@@ -33,10 +33,10 @@
 
 
 class BootClock(LoopClock):
-    """A clock that goes on while the instance is suspended.
+    """A clock that also advances while the instance is suspended.
 
-    The loop's clock stands still meanwhile, so that a lease would seem to
-    hold long after it ended for everyone else.
+    The loop's clock stops during a suspend, so a lease would look valid
+    long after it has expired for all other instances.
     """
 
     def now(self) -> float:
@@ -44,11 +44,11 @@
 
 
 async def wait_event(event: asyncio.Event, timeout_s: float) -> bool:
-    """Wait for an event; False when it did not come in time.
+    """Wait for an event; return whether it was set in time.
 
-    ``asyncio.wait_for`` of Python 3.11 may swallow the cancellation of the
-    waiting task when the event comes at that moment. The task then lives
-    on, and whoever waits for its end waits for ever.
+    In Python 3.11, ``asyncio.wait_for`` may swallow the cancellation of the
+    waiting task when the event is set at the same moment. The task then
+    keeps running, and code that awaits its end hangs.
     """
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(timeout_s):
--- a/libs/wire/src/bergamotsail/wire/_codec.py
+++ b/libs/wire/src/bergamotsail/wire/_codec.py
@@ -1,4 +1,4 @@
-"""JSON encoding of frozen dataclasses, checked on the way in."""
+"""JSON encoding of frozen dataclasses, with validation on decoding."""
 
 import collections.abc
 import typing
@@ -17,12 +17,12 @@
 
 
 def to_builtins(value: object) -> typing.Any:
-    """Turn a dataclass into dicts, lists and plain values."""
+    """Convert a dataclass to dicts, lists and plain values."""
     return msgspec.to_builtins(value)
 
 
 def decode(data: bytes | str, kind: type[T]) -> T:
-    """Decode JSON into *kind* and check every field.
+    """Decode JSON into *kind* and validate every field.
 
     Raises:
         BadMessageError: the data is not JSON or does not fit *kind*.
@@ -32,7 +32,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         name = getattr(kind, "__name__", str(kind))
         raise _errors.BadMessageError(
-            f"Send JSON that fits {name}: {error}."
+            f"Invalid JSON for {name}: {error}."
         ) from error
 
 
@@ -41,25 +41,25 @@
     kind: type[T],
     refused: collections.abc.Callable[[_errors.BadMessageError], None],
 ) -> collections.abc.Iterator[T]:
-    """Decode items one by one; one that does not fit costs itself alone.
+    """Decode items one by one, and skip those that are invalid.
 
     Args:
-        refused: told of each item that does not fit.
+        refused: called with the error of each item that is skipped.
     """
     for item in items:
         try:
             if UNREADABLE in bytes(item):
-                raise _errors.BadMessageError("Send text in UTF-8.")
+                raise _errors.BadMessageError("The item is not valid UTF-8.")
             yield decode(bytes(item), kind)
         except _errors.BadMessageError as error:
             refused(error)
 
 
 def readable(data: bytes) -> bytes:
-    """Replace bytes that are no text, so that they spoil only their item."""
+    """Replace invalid UTF-8, so that only the items with it are skipped."""
     return data.decode("utf-8", "replace").encode()
 
 
 def encode_lines(values: collections.abc.Iterable[object]) -> bytes:
-    """Encode values as JSON, one a line."""
+    """Encode values as JSON, one per line."""
     return b"".join(encode(value) + b"\n" for value in values)
--- a/libs/wire/src/bergamotsail/wire/_curl.py
+++ b/libs/wire/src/bergamotsail/wire/_curl.py
@@ -1,10 +1,10 @@
-"""Outgoing HTTP by libcurl, driven by the running event loop.
+"""HTTP client on libcurl's multi interface, driven by the event loop.
 
-Tornado's client learns of a given-up request only at libcurl's next
-progress call, up to a second later on a silent connection, and tells the
-status after the first piece of the body. Here a cancelled exchange closes
-its connection at once, the head comes before the body, and a reader that
-is slow stops the writer.
+Tornado's client notices an abandoned request only at libcurl's next progress
+callback, up to a second later on an idle connection, and it reports the status
+after the first piece of the body. Here a cancelled exchange closes its
+connection at once, the head is available before the body, and a slow reader
+exerts backpressure on the sender.
 """
 
 import asyncio
@@ -30,17 +30,17 @@
 
 
 class ReplyHead(typing.NamedTuple):
-    """Status and headers of a reply, in the order they came."""
+    """Status and headers of a reply, in the order received."""
 
     status: int
     headers: tuple[Header, ...]
 
     def get(self, name: str) -> str | None:
-        """Return the value of a header, whatever its case."""
+        """Return the first value of a header; names are case-insensitive."""
         return next(iter(self.all(name)), None)
 
     def all(self, name: str) -> tuple[str, ...]:
-        """Return each value of a header, whatever its case."""
+        """Return all values of a header; names are case-insensitive."""
         return tuple(
             value for key, value in self.headers if key.lower() == name.lower()
         )
@@ -52,11 +52,10 @@
     Leaving it before the end closes the connection at once.
 
     Args:
-        target: the path and query exactly as they go on the wire; taken
-            from the URL when None.
+        target: the path and query exactly as they are sent; taken from the
+            URL when None.
         pairs: headers in order; those of the request are used when None.
-        keep: whether the connection may have been used before, and may be
-            used again.
+        keep: whether to reuse an open connection and keep it open for reuse.
     """
 
     def __init__(
@@ -94,7 +93,7 @@
         self.abandon()
 
     def abandon(self) -> None:
-        """Close the connection unless the exchange is over."""
+        """Close the connection unless the exchange has ended."""
         curl, self._curl = self._curl, None
         if curl is not None:
             self._client.drop(curl)
@@ -102,7 +101,7 @@
             self._head.cancel()
 
     async def head(self) -> ReplyHead:
-        """Wait for status and headers.
+        """Wait for the status and headers.
 
         Raises:
             NotSentError: nothing was written.
@@ -112,7 +111,7 @@
         return await asyncio.shield(self._head)
 
     async def pieces(self) -> collections.abc.AsyncIterator[bytes]:
-        """Yield the body as it comes; raise unless it was whole."""
+        """Yield the body as it arrives; raise if it is incomplete."""
         while True:
             while self._pieces:
                 piece = self._pieces.popleft()
@@ -127,10 +126,10 @@
             raise self._failure
 
     async def body(self) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         return b"".join([piece async for piece in self.pieces()])
 
-    # Callbacks of libcurl.
+    # The libcurl handle and its callbacks.
 
     def _handle(self) -> pycurl.Curl:
         request = self._request
@@ -176,7 +175,8 @@
         if pairs is None:
             pairs = tuple(self._request.headers.items())
         given = {name.lower() for name, _ in pairs}
-        # What libcurl would add by itself is left out.
+        # "Name:" stops libcurl from adding its own header, and "Name;" sends
+        # a header without a value.
         added = ("Accept", "Expect", "User-Agent", "Content-Type")
         lines = [f"{name}:" for name in added if name.lower() not in given]
         for name, value in pairs:
@@ -184,7 +184,7 @@
         return [line.encode("latin-1", "replace") for line in lines]
 
     def _before_write(self, *_: object) -> int:
-        # libcurl repeats a request when a kept connection proves dead.
+        # libcurl repeats a request when a reused connection is dead.
         if self._request.once and self.sent:
             return pycurl.PREREQFUNC_ABORT
         gate = self._request.gate
@@ -226,16 +226,16 @@
                 self._client.resume(self._curl)
 
     def finish(self, error: tuple[int, str] | None) -> None:
-        """Take the end of the transfer from the client."""
+        """Record the end of the transfer; *error* is libcurl's, if any."""
         self._curl = None
         self._over = True
         if error is not None:
             self._failure = self._lost(error)
         elif self._head is not None and not self._head.done():
-            self._failure = self._lost((0, "no whole head"))
+            self._failure = self._lost((0, "incomplete reply head"))
         if self._head is not None and not self._head.done():
             self._head.set_exception(self._failure)
-            # It may be that nobody waits for the head any more.
+            # Marks the exception as retrieved, as nobody may await the head.
             self._head.exception()
         self._wake.set()
 
@@ -246,8 +246,8 @@
             silent = error[0] == pycurl.E_OPERATION_TIMEDOUT
             kind = _errors.PeerSilentError if silent else _errors.PeerLostError
             return kind(
-                f"The reply was lost ({text}). Ask again if the work may "
-                "be repeated."
+                f"No complete reply was received ({text}). Retry only if the "
+                "work may be repeated."
             )
         return _errors.NotSentError(
             f"Nothing was sent ({text}). Try another address.",
@@ -256,7 +256,7 @@
 
 
 def _bound_silence(fd: int, _: int) -> int:
-    """Let the kernel end a connection whose peer went silent."""
+    """Have the kernel close a connection whose peer stops responding."""
     user_timeout = socket.TCP_USER_TIMEOUT
     with socket.socket(fileno=fd) as sock:
         try:
@@ -267,7 +267,7 @@
 
 
 class CurlClient(_http.HttpClient):
-    """All outgoing connections of a process; a context manager."""
+    """HTTP client with a connection cache; a context manager."""
 
     def __init__(self) -> None:
         self._multi = pycurl.CurlMulti()
@@ -295,11 +295,11 @@
         pairs: collections.abc.Sequence[Header] | None = None,
         keep: bool = False,
     ) -> Exchange:
-        """Return an exchange, sent when it is entered."""
+        """Return an exchange; entering it sends the request."""
         return Exchange(self, request, target, pairs, keep)
 
     async def fetch(self, request: _http.HttpRequest) -> _http.HttpReply:
-        """Send a request and return the whole reply, of any status."""
+        """Send a request and return the complete reply, of any status."""
         async with self.open(request, keep=not request.once) as exchange:
             head = await exchange.head()
             body = await exchange.body()
@@ -320,26 +320,26 @@
         if rest.strip():
             yield rest.strip()
 
-    # What exchanges use.
+    # Called by exchanges.
 
     def start(self, exchange: Exchange, curl: pycurl.Curl) -> None:
-        """Begin a transfer."""
+        """Start a transfer."""
         self._exchange_by_curl[curl] = exchange
         self._multi.add_handle(curl)
         self._keep_guard()
 
     def drop(self, curl: pycurl.Curl) -> None:
-        """End a transfer and close its connection."""
+        """Abort a transfer and close its connection."""
         if self._exchange_by_curl.pop(curl, None) is not None:
             self._multi.remove_handle(curl)
             curl.close()
 
     def resume(self, curl: pycurl.Curl) -> None:
-        """Go on with a transfer whose reader was slow."""
+        """Resume a transfer that was paused for a slow reader."""
         curl.pause(pycurl.PAUSE_CONT)
         self._on_timer(0)
 
-    # Callbacks of libcurl and the loop.
+    # Callbacks of libcurl and of the event loop.
 
     def _on_socket(self, what: int, fd: int, *_: object) -> None:
         loop = asyncio.get_running_loop()
@@ -369,10 +369,10 @@
             )
 
     def _keep_guard(self) -> None:
-        """Let libcurl look at its timeouts now and then, in any case.
+        """Have libcurl check its timeouts periodically.
 
-        It does not ask again for a timer that fired a moment too early by
-        its own clock, and a transfer would then wait for ever.
+        libcurl doesn't request another timer if one fired slightly too early
+        by its own clock, and the transfer would then hang.
         """
         if self._guard is None and self._exchange_by_curl:
             loop = asyncio.get_running_loop()
--- a/libs/wire/src/bergamotsail/wire/_errors.py
+++ b/libs/wire/src/bergamotsail/wire/_errors.py
@@ -1,8 +1,8 @@
-"""Every failure that can cross a process boundary, with its type.
+"""Typed errors that can cross a process boundary.
 
-An error knows its stable ``code``, its HTTP status and whether the work
-ran. *Not run* is said only when nothing left for a target, or when the
-target itself said so; when in doubt it is *unknown*.
+An error has a stable ``code``, an HTTP status and the information whether the
+work ran. ``NOT_RUN`` is reported only when nothing was sent to a target, or
+when the target itself confirmed it; in doubt it is ``UNKNOWN``.
 """
 
 import dataclasses
@@ -33,9 +33,9 @@
 
     Args:
         message: what happened and what to do about it.
-        retry_after_s: when to come back, in seconds.
+        retry_after_s: delay before a retry, in seconds.
         use: the address of a daemon to use instead.
-        ran: overrides the usual outcome of this type.
+        ran: overrides the default of this type.
     """
 
     code = "internal"
@@ -65,7 +65,7 @@
 
 
 class InternalError(ServingError):
-    """A bug or a fault of ours; the outcome is not known."""
+    """A bug or an internal failure; whether the work ran is unknown."""
 
     ran = Ran.UNKNOWN
 
@@ -78,7 +78,7 @@
 
 
 class BadRequestError(ServingError):
-    """A request that can never succeed as it stands."""
+    """An invalid request, which fails again if it is repeated unchanged."""
 
     code = "bad_request"
     status = 400
@@ -126,7 +126,7 @@
 
 
 class ConflictError(ServingError):
-    """A compare-and-set that lost; the message holds the current one."""
+    """A change that conflicts with the current state; the message says how."""
 
     code = "conflict"
     status = 409
@@ -140,73 +140,73 @@
 
 
 class LimitError(ServingError):
-    """A member or an entry is at its catalogue limit."""
+    """A member or an entry has reached its catalogue limit."""
 
     code = "limit_reached"
     status = 429
 
 
 class OverloadError(ServingError):
-    """No room for this request within its deadline."""
+    """No capacity for this request within its deadline."""
 
     code = "overloaded"
     status = 503
 
 
 class NoPlaceError(OverloadError):
-    """No target will have room in time, so there is no use in waiting."""
+    """No target will have capacity in time, so the request does not wait."""
 
     code = "no_place"
 
 
 class BehindError(OverloadError):
-    """A daemon is behind with its work and refused a call unread."""
+    """An overloaded daemon shed a call without processing it."""
 
     code = "behind"
 
 
 class QuarantinedError(ServingError):
-    """The request ended the targets that ran it, so it is not sent there."""
+    """Targets that ran this request crashed, so it is not sent to others."""
 
     code = "quarantined"
     status = 503
 
 
 class OtherCopyError(QuarantinedError):
-    """Targets ended under the request, and another copy of it runs now."""
+    """Targets that ran this request crashed, and a copy of it runs now."""
 
     code = "other_copy"
 
 
 class StillWaitingError(OverloadError):
-    """The leader still looks for room; ask again at once to go on waiting."""
+    """No capacity yet; repeat the call at once to keep waiting."""
 
     code = "still_waiting"
 
 
 class DeadlineError(ServingError):
-    """The deadline passed, or can't be met."""
+    """The deadline has passed or can't be met."""
 
     code = "deadline"
     status = 504
 
 
 class CutOffError(ServingError):
-    """This daemon's lease ended, so it may act on old state."""
+    """This daemon's lease has expired, so its state may be stale."""
 
     code = "cut_off"
     status = 503
 
 
 class StoppingError(ServingError):
-    """This daemon is stopping as planned."""
+    """This daemon is shutting down."""
 
     code = "stopping"
     status = 503
 
 
 class NotLeaderError(ServingError):
-    """This replica does not lead; ``use`` names the leader if known."""
+    """This replica is not the leader; ``use`` names the leader if known."""
 
     code = "not_leader"
     status = 421
@@ -220,7 +220,7 @@
 
 
 class StartingError(ServingError):
-    """This replica has not read its disk yet, so it knows nothing."""
+    """This replica has not loaded its state from disk yet."""
 
     code = "starting"
     status = 503
@@ -234,14 +234,14 @@
 
 
 class NotSentError(ServingError):
-    """Nothing left for the other side."""
+    """Nothing was sent to the other side."""
 
     code = "not_sent"
     status = 503
 
 
 class PeerLostError(ServingError):
-    """The other side was lost after something was sent."""
+    """The connection was lost after something was sent."""
 
     code = "peer_lost"
     status = 502
@@ -249,27 +249,27 @@
 
 
 class PeerSilentError(PeerLostError):
-    """The other side did not answer in time; it may well be alive."""
+    """The other side did not reply in time; it may still be alive."""
 
     code = "peer_silent"
 
 
 class StaleOrderError(ServingError):
-    """The target refused an old fencing number."""
+    """The target rejected a stale fencing token."""
 
     code = "stale_order"
     status = 409
 
 
 class OtherStartError(ServingError):
-    """Another start of the target runs, and what was known is void."""
+    """The target has restarted, so what was known about it is invalid."""
 
     code = "other_start"
     status = 409
 
 
 class EngineError(ServingError):
-    """The engine refused or failed the work."""
+    """The engine rejected the work or failed while it ran."""
 
     code = "engine_failed"
     status = 502
@@ -277,7 +277,7 @@
 
 
 class WrongAdapterError(ServingError):
-    """The answer's stamp names another adapter, version or incarnation."""
+    """The answer names another adapter, version or incarnation."""
 
     code = "wrong_adapter"
     status = 502
@@ -285,7 +285,7 @@
 
 
 class TruncatedError(ServingError):
-    """A stream ended without its end mark, or lost a chunk."""
+    """A stream ended without its end marker, or a chunk is missing."""
 
     code = "truncated"
     status = 502
@@ -293,7 +293,7 @@
 
 
 class UnknownOutcomeError(ServingError):
-    """A call that may have run; it will not be run again."""
+    """A call that may have run and is not repeated."""
 
     code = "outcome_unknown"
     status = 502
@@ -301,7 +301,7 @@
 
 
 class InProgressError(ServingError):
-    """The same idempotency key is being run right now."""
+    """A request with the same idempotency key has not ended."""
 
     code = "in_progress"
     status = 409
@@ -309,7 +309,7 @@
 
 
 class CancelledByCallerError(ServingError):
-    """The caller went away."""
+    """The caller disconnected or cancelled the request."""
 
     code = "cancelled"
     status = 499
--- a/libs/wire/src/bergamotsail/wire/_http.py
+++ b/libs/wire/src/bergamotsail/wire/_http.py
@@ -1,13 +1,13 @@
-"""HTTP by tornado's curl client, with two things added.
+"""HTTP client on tornado's curl client, with two additions.
 
-The *gate* runs at the last moment before a request is written, on a
-connection that stands. If it says no, nothing was sent; that is how a
-daemon that froze after its lease check still sends nothing. And a failed
-request says whether anything was sent at all.
+The *gate* is a check that runs on the established connection, right before a
+request is written. If it returns False, nothing is sent, so a daemon that
+froze after its lease check doesn't send with an expired lease. And the error
+of a failed request says whether anything was sent.
 
-libcurl sends a request again on a new connection when a kept one turns out
-to be dead. That is wrong for a call that may not be repeated, so
-``once=True`` takes a new connection and refuses a second sending.
+libcurl repeats a request on a new connection when a reused one turns out to
+be dead. That is wrong for a call that is not idempotent, so ``once=True``
+opens a new connection and prevents a second write.
 """
 
 import asyncio
@@ -33,9 +33,10 @@
     """One HTTP request.
 
     Args:
-        url: where to, by IP number.
-        timeout_s: seconds for the whole exchange; 0 means none.
-        gate: asked right before the request is written.
+        url: URL with an IP address as its host.
+        timeout_s: seconds for the whole exchange; 0 means no limit.
+        gate: called right before the request is written; False prevents
+            that.
         once: never write the request twice.
     """
 
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpReply:
-    """A whole HTTP reply."""
+    """A complete HTTP reply."""
 
     status: int
     headers: dict[str, str]
@@ -59,7 +60,7 @@
 
 
 class _Sending:
-    """Tracks, for one request, whether anything was written."""
+    """Tracks whether a request was written or abandoned."""
 
     def __init__(self, request: HttpRequest) -> None:
         self._request = request
@@ -88,7 +89,7 @@
 
 
 class HttpClient:
-    """A context manager around one curl client."""
+    """HTTP client; a context manager that closes its connections."""
 
     def __init__(self) -> None:
         self._curl = curl_httpclient.CurlAsyncHTTPClient(
@@ -106,7 +107,7 @@
         self._curl.close()
 
     async def fetch(self, request: HttpRequest) -> HttpReply:
-        """Send a request and return the whole reply, of any status.
+        """Send a request and return the complete reply, of any status.
 
         Raises:
             NotSentError: nothing was written.
@@ -131,12 +132,12 @@
     ) -> collections.abc.AsyncIterator[bytes]:
         """Send a request and yield the lines of the reply's body.
 
-        Lines come without their end; empty lines are left out. A reply
-        with a status of 400 or more raises the typed error in its body.
+        Lines are yielded without surrounding whitespace; blank lines are
+        skipped. The status of the reply is not checked.
 
         Raises:
             NotSentError: nothing was written.
-            PeerLostError: the reply broke off.
+            PeerLostError: the reply was incomplete.
         """
         sending = _Sending(request)
         chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
@@ -201,12 +202,12 @@
 def _lost(
     error: httpclient.HTTPError, sending: _Sending, request: HttpRequest
 ) -> _errors.ServingError:
-    """Return the typed error: nothing was sent, or the reply was lost."""
+    """Return the typed error, which depends on whether anything was sent."""
     text = f"{request.method} {request.url}: {error}"
     if sending.sent:
         return _errors.PeerLostError(
-            f"The reply was lost ({text}). Ask again if the work may be "
-            "repeated."
+            f"No complete reply was received ({text}). Retry only if the "
+            "work may be repeated."
         )
     return _errors.NotSentError(
         f"Nothing was sent ({text}). Try another address.", retry_after_s=1.0
--- a/libs/wire/src/bergamotsail/wire/_lazy.py
+++ b/libs/wire/src/bergamotsail/wire/_lazy.py
@@ -1,4 +1,4 @@
-"""Names of a package whose modules are imported when first used."""
+"""Lazy import of the public names of a package (PEP 562)."""
 
 import collections.abc
 import importlib
@@ -8,10 +8,14 @@
     package: str,
     names_by_module: collections.abc.Mapping[str, tuple[str, ...]],
 ) -> collections.abc.Callable[[str], object]:
-    """Return the ``__getattr__`` of a package.
+    """Return a module ``__getattr__`` that imports names on first access.
 
-    A program that uses one part of a library then starts without the rest,
-    which counts where many come back at the same moment.
+    A program that uses one part of a library then doesn't import the rest.
+    The shorter start matters when many processes restart at the same time.
+
+    Args:
+        package: name of the package.
+        names_by_module: the public names of each module of the package.
 
     Example::
 
@@ -26,7 +30,8 @@
     def load(name: str) -> object:
         if name not in module_by_name:
             raise AttributeError(
-                f"{package} has no {name}. Look at its __init__.py."
+                f"module {package!r} has no attribute {name!r}; "
+                "its public names are listed in its __init__.py"
             )
         path = f"{package}.{module_by_name[name]}"
         return getattr(importlib.import_module(path), name)
--- a/libs/wire/src/bergamotsail/wire/_peers.py
+++ b/libs/wire/src/bergamotsail/wire/_peers.py
@@ -1,4 +1,4 @@
-"""Calls between daemons: one interface, HTTP with JSON behind it."""
+"""Remote calls between daemons, with JSON over HTTP."""
 
 import abc
 import collections.abc
@@ -18,9 +18,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call(typing.Generic[Request, Reply]):
-    """One kind of call: its name and the types of both sides.
+    """A remote call: its name and its request and reply types.
 
-    A call with ``streams=True`` is answered by many replies in order.
+    A call with ``streams=True`` returns a stream of replies.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 class PeerServer:
-    """The calls that this process answers, by name."""
+    """Registry of the calls that this process serves, by name."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, tuple[Call, Handler | StreamHandler]] = {}
@@ -50,32 +50,33 @@
         handler: Handler | StreamHandler,
         shed_after_s: float | None = None,
     ) -> None:
-        """Answer *call* with *handler* from now on.
+        """Register *handler* for *call*.
 
         Args:
-            shed_after_s: refuse it while this process is later than this
-                with its work; None to answer it always.
+            shed_after_s: event loop lag, in seconds, above which the call
+                is shed; None to never shed it.
         """
         self.by_name[call.name] = (call, handler)
         if shed_after_s is not None:
             self.shed_after_s[call.name] = shed_after_s
 
     def find(self, name: str) -> tuple[Call, Handler | StreamHandler]:
-        """Return the call of this name and its handler.
+        """Return the call with this name and its handler.
 
         Raises:
-            NotFoundError: there is none.
+            NotFoundError: no call has this name.
         """
         if name not in self.by_name:
             raise _errors.NotFoundError(
-                f"No call {name} here. Check that both sides run the same "
-                "version and that this daemon has the role."
+                f"This daemon doesn't serve the call {name}. Check that both "
+                "sides run the same version and that this daemon has the "
+                "required role."
             )
         return self.by_name[name]
 
 
 class PeerTransport(abc.ABC):
-    """How one daemon calls another."""
+    """Interface for calls from one daemon to another."""
 
     @abc.abstractmethod
     async def call(
@@ -85,12 +86,12 @@
         message: Request,
         timeout_s: float,
     ) -> Reply:
-        """Call and return the one reply.
+        """Send a request and return its reply.
 
         Raises:
-            NotSentError: nothing reached the peer.
-            PeerLostError: the reply was lost.
-            ServingError: whatever typed error the peer raised.
+            NotSentError: nothing was sent to the peer.
+            PeerLostError: the request was sent, but the reply was lost.
+            ServingError: the typed error that the peer raised.
         """
 
     @abc.abstractmethod
@@ -101,12 +102,12 @@
         message: Request,
         timeout_s: float,
     ) -> collections.abc.AsyncIterator[Reply]:
-        """Call and yield the replies in order; raises as ``call``."""
+        """Send a request and yield its replies; raises as ``call``."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Frame:
-    """One line of a streamed reply: a reply, an error or the end."""
+    """One line of a stream: a reply, an error or the end marker."""
 
     reply: typing.Any = None
     error: _errors.ErrorBody | None = None
@@ -114,13 +115,13 @@
 
 
 class HttpPeerTransport(PeerTransport):
-    """HTTP with JSON between daemons.
+    """Peer transport with JSON over HTTP.
 
     Args:
         http: the client to use.
         token: the shared secret of all daemons.
-        called: told of each call's name, and the bytes of the bodies that
-            went out and came back.
+        called: called after each reply that is not a stream, with the name
+            of the call and the bytes of the request and reply bodies.
     """
 
     def __init__(
@@ -172,7 +173,7 @@
         finally:
             await lines.aclose()
         raise _errors.PeerLostError(
-            f"The stream {call.name} from {address} broke off. Resume it."
+            f"The stream {call.name} from {address} ended early. Resume it."
         )
 
     def _request(
@@ -191,7 +192,7 @@
 
 
 def stream_frame_type(call: Call) -> type:
-    """Return the frame type whose reply is of the call's type."""
+    """Return the type of a frame that holds a reply of *call*."""
     if call.name not in _frame_types:
         _frame_types[call.name] = dataclasses.make_dataclass(
             f"{call.name}_frame",
--- a/libs/wire/src/bergamotsail/wire/_steps.py
+++ b/libs/wire/src/bergamotsail/wire/_steps.py
@@ -1,6 +1,7 @@
-"""Named steps of the work, where tests may inject a fault.
+"""Fault injection points.
 
-In production :class:`NoSteps` is used and costs one awaited call.
+In production :class:`NoSteps` is used, which costs one awaited call at each
+point.
 """
 
 import abc
@@ -8,7 +9,7 @@
 
 
 class Step(enum.StrEnum):
-    """A step at which a fault can be injected."""
+    """An operation before or after which a fault can be injected."""
 
     VOTE = "vote"
     APPEND = "append"
@@ -33,22 +34,22 @@
 
 
 class Phase(enum.StrEnum):
-    """Whether the step is about to happen or has just happened."""
+    """Whether the operation is about to start or has just finished."""
 
     BEFORE = "before"
     AFTER = "after"
 
 
 class Steps(abc.ABC):
-    """Where the code announces the steps it takes."""
+    """Interface that is called at each fault injection point."""
 
     @abc.abstractmethod
     async def reach(self, step: Step, phase: Phase) -> None:
-        """Announce a step; a test may raise, block or cut here."""
+        """Report a step; a test may raise, block or disconnect here."""
 
 
 class NoSteps(Steps):
-    """Announces nothing."""
+    """Implementation for production, which does nothing."""
 
     async def reach(self, step: Step, phase: Phase) -> None:
         return None
--- a/libs/wire/src/bergamotsail/wire/_streams.py
+++ b/libs/wire/src/bergamotsail/wire/_streams.py
@@ -1,4 +1,4 @@
-"""Reading a stream whose other side may have gone silent."""
+"""Reading a stream whose sender may stop responding."""
 
 import asyncio
 import collections.abc
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _End:
-    """The end of a stream, with its error if it broke."""
+    """The end of a stream, with the error if it failed."""
 
     error: BaseException | None = None
 
@@ -27,15 +27,15 @@
     check: Check,
     interval_s: float,
 ) -> collections.abc.AsyncGenerator[T, None]:
-    """Yield the items, and give the stream up when *check* says so.
+    """Yield the items, and abort the stream if *check* returns an error.
 
-    A frozen or cut-off peer ends no connection, so that a plain reader
-    would wait for ever. One task reads the whole stream; a task for each
-    item would cost more than the item.
+    A frozen or partitioned peer doesn't close its connection, so a plain
+    reader would wait forever. One task reads the whole stream, because a
+    task for each item would cost more than the item.
 
     Args:
-        check: asked after every *interval_s* seconds without an item;
-            returns the error to raise, or None to wait on.
+        check: called every *interval_s* seconds while no item has come for
+            that long; returns the error to raise, or None to keep waiting.
     """
     loop = asyncio.get_running_loop()
     queue: asyncio.Queue = asyncio.Queue(READ_AHEAD)
--- a/libs/wire/src/bergamotsail/wire/_tokens.py
+++ b/libs/wire/src/bergamotsail/wire/_tokens.py
@@ -1,4 +1,4 @@
-"""Names and luck that no two processes share."""
+"""Unique tokens and random generators for each process."""
 
 import hashlib
 import os
@@ -10,11 +10,11 @@
 
 
 def fresh_token(name: str) -> str:
-    """Return a token of 16 hex digits that is new with every call.
+    """Return a new, unique token of 16 hex digits.
 
-    The system's randomness alone may be the same in processes that start
-    at the same moment on machines that are alike, so the name of the daemon
-    and the clocks go in as well.
+    The system's random numbers alone may be equal in processes that start
+    at the same moment on identical instances, so the daemon's name, the
+    process ID and the clocks are included.
     """
     parts = (
         name,
@@ -28,5 +28,5 @@
 
 
 def own_luck(name: str) -> random.Random:
-    """Return a source of luck that other daemons don't share."""
+    """Return a random generator with a unique seed."""
     return random.Random(fresh_token(name))
