--- a/libs/settings/src/bergamotsail/settings/__init__.py
+++ b/libs/settings/src/bergamotsail/settings/__init__.py
@@ -1,7 +1,7 @@
-"""JSON settings, checked as a whole.
+"""JSON settings with validation.
 
-Every field is typed and has a documented default where one makes sense. An
-unknown key is refused, and all faults are reported at once.
+Every field is typed and has a documented default where one makes sense.
+Unknown keys are rejected, and all faults are reported at once.
 """
 
 from bergamotsail.settings import _check
--- a/libs/settings/src/bergamotsail/settings/_check.py
+++ b/libs/settings/src/bergamotsail/settings/_check.py
@@ -1,4 +1,4 @@
-"""Reading and checking settings."""
+"""Loading and validation of settings."""
 
 import collections.abc
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class SettingFault(ValueError):
-    """One fault and the path of the setting."""
+    """An invalid setting: its path and the reason."""
 
     def __init__(self, path: str, message: str) -> None:
         super().__init__(f"{path}: {message}")
@@ -26,17 +26,17 @@
 
 
 class SettingsError(ExceptionGroup):
-    """All faults of a settings file at once."""
+    """All faults of a settings file, as an exception group."""
 
     def derive(
         self, excs: collections.abc.Sequence[Exception]
     ) -> "SettingsError":
-        """Keep the type when the group is split."""
+        """Return a group of this type when the group is split."""
         return SettingsError(self.message, excs)
 
 
 def load(path: str | pathlib.Path) -> _model.DaemonSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises:
         SettingsError: with one :class:`SettingFault` for each fault.
@@ -49,11 +49,11 @@
 
 
 def parse(text: str) -> _model.DaemonSettings:
-    """Check settings given as JSON text; raises as :func:`load`."""
+    """Validate settings given as JSON text; raises as :func:`load`."""
     try:
         data = json.loads(text)
     except ValueError as error:
-        raise _group([SettingFault("$", f"is not JSON: {error}")])
+        raise _group([SettingFault("$", f"invalid JSON: {error}")])
     try:
         settings = _converter().structure(data, _model.DaemonSettings)
     except cattrs.BaseValidationError as error:
@@ -66,7 +66,7 @@
 
 
 def _group(faults: list[SettingFault]) -> SettingsError:
-    return SettingsError("Mend these settings", faults)
+    return SettingsError("Invalid settings", faults)
 
 
 def _converter() -> cattrs.Converter:
@@ -89,12 +89,12 @@
 
 
 def _strict(value: object, kind: type) -> object:
-    """Take a plain value only as what it is; an int may be a float."""
+    """Return a value of exactly this type; an int is valid as a float."""
     if kind is float and type(value) is int:
         return float(value)
     if type(value) is not kind:
         found = type(value).__name__
-        raise TypeError(f"give a {kind.__name__}, not a {found}")
+        raise TypeError(f"must be of type {kind.__name__}, not {found}")
     return value
 
 
@@ -111,7 +111,7 @@
         names = ", ".join(sorted(error.extra_fields))
         return f"unknown keys: {names}; remove or correct them"
     if isinstance(error, KeyError):
-        return f"give a value for {error.args[0]}"
+        return f"required key {error.args[0]} is missing"
     return str(error)
 
 
@@ -126,7 +126,8 @@
         allowed = field.metadata.get("range")
         if allowed and not allowed.low <= inner <= allowed.high:
             yield SettingFault(
-                inner_path, f"give {allowed.low:g} to {allowed.high:g}"
+                inner_path,
+                f"must be from {allowed.low:g} to {allowed.high:g}",
             )
 
 
@@ -134,39 +135,52 @@
     settings: _model.DaemonSettings,
 ) -> collections.abc.Iterator[SettingFault]:
     if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9-]{0,63}", settings.name):
-        yield SettingFault("$.name", "use letters, digits and dashes")
+        yield SettingFault(
+            "$.name",
+            "must be 1 to 64 letters, digits and dashes, with no leading dash",
+        )
     for path, address in _addresses(settings):
         if not _is_address(address):
-            yield SettingFault(path, "give an IP number and a port")
+            yield SettingFault(path, "must be an IP address and a port")
     if not settings.replicas:
-        yield SettingFault("$.replicas", "name at least one replica")
+        yield SettingFault("$.replicas", "must list at least one replica")
     is_replica = settings.address in settings.replicas
     if is_replica and settings.data_folder is None:
-        yield SettingFault("$.data_folder", "a replica needs one")
+        yield SettingFault(
+            "$.data_folder",
+            "required, as this address is listed under replicas",
+        )
     if settings.data_folder is not None and not is_replica:
         yield SettingFault(
-            "$.data_folder", "list this address under replicas, or remove it"
+            "$.data_folder",
+            "only replicas have one: list this address under replicas or "
+            "remove this setting",
         )
     lease = settings.lease
     if lease.heartbeat_s * LEASE_HEARTBEATS > lease.lease_s:
         yield SettingFault(
-            "$.lease.heartbeat_s", "give at most a third of lease_s"
+            "$.lease.heartbeat_s", "must be at most a third of lease_s"
         )
     if settings.consensus.heartbeat_s * 3 > settings.consensus.election_s:
         yield SettingFault(
-            "$.consensus.heartbeat_s", "give at most a third of election_s"
+            "$.consensus.heartbeat_s", "must be at most a third of election_s"
         )
     if len(settings.peer_token) < 16:
-        yield SettingFault("$.peer_token", "give 16 characters or more")
+        yield SettingFault("$.peer_token", "must have 16 characters or more")
     for operator, digest in settings.operator_tokens.items():
         if not re.fullmatch(r"[0-9a-f]{64}", digest):
             yield SettingFault(
-                f"$.operator_tokens[{operator!r}]", "give 64 hex digits"
+                f"$.operator_tokens[{operator!r}]",
+                "must be 64 lowercase hex digits",
             )
     if settings.routing not in ("residency", "hash", "least_loaded"):
-        yield SettingFault("$.routing", "give residency, hash or least_loaded")
+        yield SettingFault(
+            "$.routing", "must be residency, hash or least_loaded"
+        )
     if settings.placement.policy not in ("value", "least_recent"):
-        yield SettingFault("$.placement.policy", "give value or least_recent")
+        yield SettingFault(
+            "$.placement.policy", "must be value or least_recent"
+        )
 
 
 def _addresses(
--- a/libs/settings/src/bergamotsail/settings/_explain.py
+++ b/libs/settings/src/bergamotsail/settings/_explain.py
@@ -1,4 +1,4 @@
-"""What each setting means, for the command line and the docs."""
+"""Descriptions of the settings, for the command line and the docs."""
 
 import collections.abc
 import dataclasses
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldNote:
-    """A setting: its path, type, default, range and meaning."""
+    """A setting: its path, type, default, range and description."""
 
     path: str
     kind: str
@@ -21,7 +21,7 @@
 def explain(
     kind: type = _model.DaemonSettings, path: str = ""
 ) -> collections.abc.Iterator[FieldNote]:
-    """Yield a note for each setting."""
+    """Yield a description of each setting."""
     for field in dataclasses.fields(kind):
         inner_path = f"{path}{field.name}"
         if dataclasses.is_dataclass(field.type):
--- a/libs/settings/src/bergamotsail/settings/_model.py
+++ b/libs/settings/src/bergamotsail/settings/_model.py
@@ -22,19 +22,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseFields:
-    """Sessions of daemons with the leader."""
+    """Leases of the daemons' sessions with the leader."""
 
     lease_s: float = _number(
-        3.0, 0.2, 60, "Seconds a daemon may act after a heartbeat."
+        3.0,
+        0.2,
+        60,
+        "Seconds that a lease is valid after a heartbeat was sent.",
     )
     heartbeat_s: float = _number(
-        0.5, 0.05, 20, "Seconds between heartbeats; at most a third of it."
+        0.5,
+        0.05,
+        20,
+        "Seconds between heartbeats; at most a third of lease_s.",
     )
     drift: float = _number(
-        0.05, 0, 0.5, "Largest relative difference between two clocks."
+        0.05, 0, 0.5, "Largest relative drift between two clocks."
     )
     order_flight_s: float = _number(
-        0.5, 0, 60, "Seconds an order may be on its way to a target."
+        0.5,
+        0,
+        60,
+        "Longest time, in seconds, that an order is in transit to a target.",
     )
 
 
@@ -43,13 +52,16 @@
     """The replicated log."""
 
     election_s: float = _number(
-        1.0, 0.1, 30, "Seconds of silence before an election."
+        1.0,
+        0.1,
+        30,
+        "Election timeout: seconds without contact to the leader.",
     )
     heartbeat_s: float = _number(
         0.2, 0.02, 10, "Seconds between the leader's heartbeats."
     )
     call_s: float = _number(
-        1.0, 0.1, 30, "Seconds before a call between replicas is given up."
+        1.0, 0.1, 30, "Timeout of a call between replicas, in seconds."
     )
     snapshot_entries: int = _number(
         4000, 10, 1_000_000, "Log entries between snapshots."
@@ -58,47 +70,58 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementFields:
-    """What owners load and evict."""
+    """Loads and evictions of adapters."""
 
-    policy: str = _note("value or least_recent.", default="value")
+    policy: str = _note(
+        "Eviction policy: value or least_recent.", default="value"
+    )
     stall_weight: float = _number(
-        0.5, 0, 1, "0 favours full batches, 1 short load stalls."
+        0.5, 0, 1, "0 favours full batches, 1 favours short load stalls."
     )
     max_queue: int = _number(
-        256, 1, 100_000, "Waiting requests for each engine."
+        256, 1, 100_000, "Maximum number of waiting requests for each engine."
     )
     report_interval_s: float = _number(
-        0.25, 0.01, 10, "Seconds between readings of an engine's report."
+        0.25, 0.01, 10, "Seconds between polls of an engine's report."
     )
     min_residence_s: float = _number(
-        1.0, 0, 600, "Seconds that an adapter stays at least."
+        1.0, 0, 600, "Minimum time, in seconds, that an adapter stays loaded."
     )
     half_life_s: float = _number(
-        60.0, 1, 86_400, "Seconds after which a use counts half."
+        60.0, 1, 86_400, "Half-life of use counts, in seconds."
     )
     drain_after_s: float = _number(
-        2.0, 0, 600, "Seconds of wait after which a busy adapter makes room."
+        2.0, 0, 600, "Wait, in seconds, after which a busy adapter is drained."
     )
     orphan_grace_s: float = _number(
-        5.0, 0, 600, "Seconds that a run outlives the loss of its reader."
+        5.0, 0, 600, "Seconds that a run continues after its reader was lost."
     )
     load_retries: int = _number(
-        2, 1, 100, "Failed loads after which waiting requests fail."
+        2, 1, 100, "Number of failed loads after which waiting requests fail."
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionFields:
-    """What one daemon admits."""
+    """Admission control of one daemon."""
 
     max_waiting: int = _number(
-        200, 1, 100_000, "Requests of a member that wait for a share."
+        200,
+        1,
+        100_000,
+        "Maximum number of a member's requests that wait for a share.",
     )
     max_active: int = _number(
-        2000, 1, 100_000, "Requests of all members in this daemon."
+        2000,
+        1,
+        100_000,
+        "Maximum number of requests of all members in this daemon.",
     )
     max_wait_s: float = _number(
-        10.0, 0, 600, "Seconds that a request waits for a share at most."
+        10.0,
+        0,
+        600,
+        "Longest time, in seconds, that a request waits for a share.",
     )
 
 
@@ -116,22 +139,28 @@
         30.0, 1, 3600, "Seconds in which a request's body must arrive."
     )
     write_s: float = _number(
-        30.0, 1, 3600, "Seconds that a caller may take to read on."
+        30.0,
+        1,
+        3600,
+        "Timeout, in seconds, of a write to a caller that reads slowly.",
     )
     default_deadline_s: float = _number(
-        30.0, 0.1, 3600, "Deadline of a request that names none."
+        30.0, 0.1, 3600, "Deadline, in seconds, of a request that sets none."
     )
     max_deadline_s: float = _number(
-        600.0, 1, 86_400, "Latest deadline that a request may name."
+        600.0,
+        1,
+        86_400,
+        "Longest deadline, in seconds, that a request may set.",
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopFields:
-    """A planned stop."""
+    """Graceful shutdown."""
 
     finish_s: float = _number(
-        120.0, 0, 3600, "Seconds that running requests get to finish."
+        120.0, 0, 3600, "Seconds that running requests have to finish."
     )
 
 
@@ -139,8 +168,10 @@
 class DaemonSettings:
     """Settings of one ``bergamotsaild``."""
 
-    name: str = _note("Unique and lasting name of this instance.")
-    address: str = _note("IP number and port to listen on and be found at.")
+    name: str = _note("Unique, stable name of this instance.")
+    address: str = _note(
+        "IP address and port to listen on and to be reached at."
+    )
     datacentre: str = _note("Data centre of this instance.")
     replicas: tuple[str, ...] = _note("Addresses of all replicas.")
     instance_list: str = _note("URL of the platform's instance list.")
@@ -149,32 +180,36 @@
         "SHA-256 in hex of each operator's token, by operator."
     )
     data_folder: str | None = _note(
-        "Folder on a disk; makes this instance a replica.", default=None
+        "Folder on a disk; for a replica only, and required there.",
+        default=None,
     )
     answer_keep_s: float = _number(
-        5.0, 0.1, 3600, "Seconds that callers may keep a look-up's answer."
+        5.0,
+        0.1,
+        3600,
+        "Seconds that callers may cache the answer of a look-up.",
     )
     list_interval_s: float = _number(
-        1.0, 0.05, 60, "Seconds between readings of the instance list."
+        1.0, 0.05, 60, "Seconds between polls of the instance list."
     )
     claim_retention_s: float = _number(
-        86_400.0, 10, 31_536_000, "Seconds that idempotency keys are kept."
+        86_400.0, 10, 31_536_000, "Retention of idempotency keys, in seconds."
     )
     routing: str = _note(
-        "residency, or the baselines hash and least_loaded.",
+        "Routing policy: residency, or the baselines hash and least_loaded.",
         default="residency",
     )
     lease: LeaseFields = _note(
-        "Sessions with the leader.", default=LeaseFields()
+        "Leases of sessions with the leader.", default=LeaseFields()
     )
     consensus: ConsensusFields = _note(
         "The replicated log.", default=ConsensusFields()
     )
     placement: PlacementFields = _note(
-        "Loads and evictions.", default=PlacementFields()
+        "Loads and evictions of adapters.", default=PlacementFields()
     )
     admission: AdmissionFields = _note(
-        "What this instance admits.", default=AdmissionFields()
+        "Admission control of this instance.", default=AdmissionFields()
     )
     http: HttpFields = _note("The HTTP server.", default=HttpFields())
-    stop: StopFields = _note("A planned stop.", default=StopFields())
+    stop: StopFields = _note("Graceful shutdown.", default=StopFields())
