--- a/libs/explain/src/bergamotsail/explain/__init__.py
+++ b/libs/explain/src/bergamotsail/explain/__init__.py
@@ -1,4 +1,4 @@
-"""What happened to requests, from the JSON logs of any number of daemons.
+"""Analysis of requests, from the event logs of any number of daemons.
 
 Example::
 
@@ -21,5 +21,5 @@
 one_request = _summary.one_request
 summary = _summary.summary
 
-# The plots need matplotlib, which daemons do without.
+# The plots need matplotlib, which daemons run without.
 __getattr__ = wire.lazy_names(__name__, {"_report": ("write_report",)})
--- a/libs/explain/src/bergamotsail/explain/_events.py
+++ b/libs/explain/src/bergamotsail/explain/_events.py
@@ -1,4 +1,4 @@
-"""Lines of logs, read whatever stands before them."""
+"""Parsing of event logs; any prefix before the JSON is ignored."""
 
 import collections.abc
 import dataclasses
@@ -8,15 +8,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One decision that a daemon logged.
+    """One event that a daemon logged.
 
     Args:
-        at_s: seconds on the clock of that daemon alone.
+        at_s: seconds on that daemon's own clock.
         daemon: the daemon that wrote it.
-        part: the part of the daemon, such as ``place``.
-        what: what was decided.
-        request: the caller's request that it is about, if any.
-        fields: what the decision was made from.
+        part: component of the daemon, such as ``place``.
+        what: name of the event.
+        request: ID of the caller's request, if any.
+        fields: all fields of the line.
     """
 
     at_s: float
@@ -27,7 +27,7 @@
     fields: dict[str, object]
 
     def number(self, name: str) -> float:
-        """Return a figure of the line, 0 where there is none."""
+        """Return a numeric field, or 0 if there is none."""
         value = self.fields.get(name)
         return float(value) if isinstance(value, (int, float)) else 0.0
 
@@ -35,10 +35,10 @@
 def read_events(
     paths: collections.abc.Iterable[pathlib.Path],
 ) -> list[Event]:
-    """Return the events of all logs, in the order of each.
+    """Return the events of all logs, each log in its own order.
 
-    Lines that are no events are passed over: a log may begin inside a
-    line, and other programs may write to the same file.
+    Lines that are not events are skipped: a log may start in the middle of
+    a line, and other programs may write to the same file.
     """
     found: list[Event] = []
     for path in paths:
@@ -77,6 +77,9 @@
 
 
 def _request_of(fields: dict[str, object]) -> str | None:
-    """Return the caller's request; its places are numbered after a dot."""
+    """Return the ID of the caller's request, without its part after a dot.
+
+    The part after the dot numbers the placements of the request.
+    """
     request = fields.get("request")
     return None if request is None else str(request).partition(".")[0]
--- a/libs/explain/src/bergamotsail/explain/_journeys.py
+++ b/libs/explain/src/bergamotsail/explain/_journeys.py
@@ -1,4 +1,4 @@
-"""The stages of each request: wait, way, engine, rest."""
+"""Stages of each request, reconstructed from its events."""
 
 import collections
 import collections.abc
@@ -12,20 +12,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Journey:
-    """What happened to one request of a caller, in seconds.
+    """Timeline of one request of a caller, in seconds.
 
     Args:
-        arrived_s: on the clock of the daemon that took it.
-        wait_s: until it was first sent to a target; None when never.
-        engine_s: from there to the first answer; None without one.
+        arrived_s: arrival, on the clock of the daemon that accepted it.
+        wait_s: from arrival to the first send to a target; None if not sent.
+        engine_s: from that send to the first answer; None without one.
         first_s: from arrival to the first answer.
-        longest_pause_s: between two pieces of the answer.
-        took_s: from arrival to the end.
-        code: how it ended.
+        longest_pause_s: longest pause between two pieces of the answer.
+        took_s: total time, from arrival to the end.
+        code: code of the outcome.
         loaded: whether its adapter had to be loaded first.
-        backlog_s: what was believed to wait at the engine before it.
-        new_tokens: prompt tokens believed to be read.
-        running: requests that ran there already.
+        backlog_s: estimated wait at the engine before its prompt is read.
+        new_tokens: estimated prompt tokens that were not cached there.
+        running: requests that were already running there.
     """
 
     request: str
@@ -48,7 +48,7 @@
 
 
 def journeys(events: collections.abc.Iterable[Event]) -> list[Journey]:
-    """Return one journey for each request that ended."""
+    """Return the timeline of each request that ended."""
     by_request: dict[str, list[Event]] = collections.defaultdict(list)
     for event in events:
         if event.request is not None:
@@ -100,7 +100,7 @@
 
 
 def _first_s(here: list[Event]) -> float | None:
-    """Return when the first good answer came, from arrival."""
+    """Return the time from arrival to the first answer with status 200."""
     for answer in _all(here, "route", "answer"):
         if answer.fields.get("status") == GOOD_STATUS:
             return answer.number("since_arrival_s")
--- a/libs/explain/src/bergamotsail/explain/_report.py
+++ b/libs/explain/src/bergamotsail/explain/_report.py
@@ -1,4 +1,4 @@
-"""One self-contained page of HTML with plots."""
+"""Self-contained HTML report with plots and tables."""
 
 import base64
 import collections.abc
@@ -24,7 +24,7 @@
     journeys: collections.abc.Sequence[Journey],
     events: collections.abc.Sequence[Event],
 ) -> None:
-    """Write tables and plots to a file."""
+    """Write the report to a file."""
     tables = html.escape("\n".join(_summary.summary(journeys, events)))
     plots = "\n".join(
         f'<h2>{html.escape(title)}</h2><img src="data:image/png;base64,'
@@ -33,8 +33,8 @@
     )
     path.write_text(
         "<!doctype html><html lang=en><meta charset=utf-8>"
-        "<title>Requests, explained</title>"
-        f"<body><h1>Requests, explained</h1>{plots}"
+        "<title>Request report</title>"
+        f"<body><h1>Request report</h1>{plots}"
         f"<h2>Tables</h2><pre>{tables}</pre></body></html>\n"
     )
 
@@ -44,14 +44,14 @@
 ) -> collections.abc.Iterator[tuple[str, figure.Figure]]:
     waits = [j.wait_s for j in journeys if j.wait_s is not None]
     engines = [j.engine_s for j in journeys if j.engine_s is not None]
-    yield "Wait for a place, seconds", _histogram(waits)
-    yield "Target to first answer, seconds", _histogram(engines)
+    yield "Wait for placement, seconds", _histogram(waits)
+    yield "From send to first answer, seconds", _histogram(engines)
     sure = [
         j
         for j in journeys
         if j.backlog_s is not None and j.engine_s is not None
     ]
-    yield "Believed backlog against time there, seconds", _scatter(
+    yield "Estimated backlog and time to first answer, seconds", _scatter(
         [j.backlog_s for j in sure], [j.engine_s for j in sure]
     )
 
@@ -69,8 +69,8 @@
     drawn = figure.Figure((WIDTH_IN, HEIGHT_IN))
     axes = drawn.add_subplot()
     axes.scatter(across, up, s=4)
-    axes.set_xlabel("believed, seconds")
-    axes.set_ylabel("came, seconds")
+    axes.set_xlabel("estimated backlog, seconds")
+    axes.set_ylabel("send to first answer, seconds")
     return drawn
 
 
--- a/libs/explain/src/bergamotsail/explain/_summary.py
+++ b/libs/explain/src/bergamotsail/explain/_summary.py
@@ -1,4 +1,4 @@
-"""Tables of text: all requests by stage, or one request line by line."""
+"""Text tables: all requests by stage, or one request event by event."""
 
 import collections
 import collections.abc
@@ -11,13 +11,13 @@
 Journey = _journeys.Journey
 PERCENTILES = (50, 75, 90, 95, 99)
 BACKLOG_BOUNDS_S = (0.02, 0.1, 0.2, 0.4, 0.8, float("inf"))
-# A fetch from a store takes longer than this, a load from a copy less.
+# Loads from a copy take less time than this, fetches from the store more.
 COPY_LOAD_S = 0.15
 MOST_ROWS = 12
 
 
 def percentile(values: collections.abc.Sequence[float], part: int) -> float:
-    """Return a percentile; 0 of nothing.
+    """Return a percentile, or 0 if there are no values.
 
     Example: ``percentile([1.0, 2.0, 3.0], 50)`` gives 2.0.
     """
@@ -71,17 +71,17 @@
         engines = [j.engine_s for j in own if j.engine_s is not None]
         firsts = [j.first_s for j in own if j.first_s is not None]
         pauses = [j.longest_pause_s for j in own if j.longest_pause_s]
-        yield _row(f"{route} wait for a place", waits)
+        yield _row(f"{route} wait for placement", waits)
         yield _row(f"{route} at the target", engines)
         yield _row(f"{route} first answer", firsts)
         yield _row(f"{route} longest pause", pauses)
-        yield _row(f"{route} to the end", [j.took_s for j in own])
+        yield _row(f"{route} total", [j.took_s for j in own])
 
 
 def _ends(
     journeys: collections.abc.Sequence[Journey],
 ) -> collections.abc.Iterator[str]:
-    yield "how requests ended"
+    yield "requests by route and outcome"
     counts = collections.Counter((j.route, j.code) for j in journeys)
     for (route, code), count in sorted(counts.items()):
         yield f"{route:20}{code:20}{count:7}"
@@ -90,8 +90,8 @@
 def _beliefs(
     journeys: collections.abc.Sequence[Journey],
 ) -> collections.abc.Iterator[str]:
-    """Set what was believed of an engine against what came."""
-    yield _head("believed backlog: time there, s")
+    """Compare the estimated backlog with the actual time at the target."""
+    yield _head("time by estimated backlog, s")
     sure = [
         j
         for j in journeys
@@ -127,11 +127,11 @@
             is_copy = bool(start.fields.get("copy"))
             took[is_copy].append(event.at_s - start.at_s)
     yield _head("loads, s")
-    yield _row("believed from a copy", took[True])
-    yield _row("believed from the store", took[False])
+    yield _row("expected from a copy", took[True])
+    yield _row("expected from the store", took[False])
     slow = sum(seconds > COPY_LOAD_S for seconds in took[True])
     fast = sum(seconds <= COPY_LOAD_S for seconds in took[False])
-    yield f"copies that were none: {slow}; copies not known of: {fast}"
+    yield f"expected copies not found: {slow}; unexpected copies: {fast}"
     yield (
         f"fetches from the store: {len(fetched)}, of"
         f" {len(set(fetched))} different adapters"
@@ -141,12 +141,12 @@
 def _engines(
     journeys: collections.abc.Sequence[Journey],
 ) -> collections.abc.Iterator[str]:
-    """Show how unequal the load of engines was."""
+    """Show the distribution of load over the engines."""
     by_target: dict[str, list[Journey]] = collections.defaultdict(list)
     for journey in journeys:
         if journey.target is not None and journey.adapter is not None:
             by_target[journey.target].append(journey)
-    yield _head("engine: time there, s")
+    yield _head("time by engine, s")
     busiest = sorted(by_target.items(), key=lambda item: -len(item[1]))
     for target, own in busiest[:MOST_ROWS]:
         engines = [j.engine_s for j in own if j.engine_s is not None]
@@ -168,9 +168,10 @@
 def one_request(
     request: str, events: collections.abc.Sequence[Event]
 ) -> list[str]:
-    """Return every line about a request, daemon by daemon.
+    """Return a line for each event of a request, grouped by daemon.
 
-    Clocks of daemons differ, so times count from the first line of each.
+    The clocks of daemons differ, so times are relative to the first event
+    of each daemon.
     """
     own = [event for event in events if event.request == request]
     lines: list[str] = []
@@ -183,7 +184,7 @@
                 f"  {after_s:+9.4f} s  {event.part} {event.what}:"
                 f" {_shown(event.fields)}"
             )
-    return lines or [f"No line speaks of {request}. Give more logs."]
+    return lines or [f"No events of request {request} found. Add more logs."]
 
 
 def _shown(fields: dict[str, object]) -> str:
--- a/libs/explain/src/bergamotsail/explain/_work.py
+++ b/libs/explain/src/bergamotsail/explain/_work.py
@@ -1,4 +1,4 @@
-"""Tables of what processes did: time, messages and bytes by kind."""
+"""Tables of the time, messages and bytes of processes, by kind of work."""
 
 import collections
 import collections.abc
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Sum:
-    """What processes of a role did of one kind."""
+    """Totals of one kind of work."""
 
     took_s: float = 0.0
     messages: int = 0
@@ -22,7 +22,7 @@
     sent: int = 0
 
     def add(self, figures: collections.abc.Sequence[float]) -> None:
-        """Add the figures of a line."""
+        """Add the values of one line."""
         took_s, messages, received, sent = figures
         self.took_s += took_s
         self.messages += int(messages)
@@ -33,7 +33,7 @@
 def work_tables(
     events: collections.abc.Iterable[Event],
 ) -> collections.abc.Iterator[str]:
-    """Yield a table for each role: the mean process, and the busiest."""
+    """Yield tables for each role: its mean process and its busiest one."""
     by_role: dict[str, dict[str, list[Event]]] = {}
     for event in events:
         if (event.part, event.what) == ("vitals", "work"):
@@ -55,7 +55,7 @@
 
 
 def _busy(lines: list[Event]) -> float:
-    """Return the part of its time that a process worked."""
+    """Return the fraction of the time in which a process worked."""
     over_s = sum(line.number("over_s") for line in lines)
     took_s = sum(done.took_s for done in _sums(lines).values())
     return took_s / over_s if over_s else 0.0
--- a/libs/observe/src/bergamotsail/observe/__init__.py
+++ b/libs/observe/src/bergamotsail/observe/__init__.py
@@ -1,4 +1,4 @@
-"""Decision logs and metrics that can be merged over daemons."""
+"""Event logs, and metrics that can be merged over daemons."""
 
 from bergamotsail.observe import _decisions
 from bergamotsail.observe import _events
--- a/libs/observe/src/bergamotsail/observe/_decisions.py
+++ b/libs/observe/src/bergamotsail/observe/_decisions.py
@@ -10,9 +10,9 @@
     """A decision, its subject and its reason.
 
     Args:
-        part: fixed prefix, such as ``route`` or ``place``.
-        what: what was decided, a verb.
-        reason: why, in a few words.
+        part: component, the prefix of the line, such as ``route``.
+        what: the action, a verb.
+        reason: the reason, in a few words.
     """
 
     part: str
@@ -24,7 +24,7 @@
 
 
 def log_decision(decision: Decision) -> None:
-    """Write the line of a decision.
+    """Log a decision as one line.
 
     Example: ``route: Send. request=r1 adapter=quotes@v3 target=runner-2
     reason=resident``
--- a/libs/observe/src/bergamotsail/observe/_events.py
+++ b/libs/observe/src/bergamotsail/observe/_events.py
@@ -1,8 +1,8 @@
-"""One JSON line for each decision, on standard output, never blocking.
+"""Event log: one JSON line for each event, written without blocking.
 
-Lines wait in a bounded queue for a thread that writes them. When the
-reader of standard output is slow, the newest lines are dropped and counted,
-and the count is the next line.
+A thread writes the lines from a bounded queue to standard output. When the
+reader of standard output is slow, new lines are dropped, and the next line
+that is queued gives their number in its field ``dropped``.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 class EventLog:
-    """Writes lines from a thread; a context manager."""
+    """Event log with a writer thread; a context manager."""
 
     def __init__(self, origin: str, stream=None) -> None:
         self._origin = origin
@@ -37,7 +37,7 @@
         self._thread.join(timeout=1.0)
 
     def add(self, part: str, what: str, fields: dict[str, object]) -> None:
-        """Queue a line; drop it when the queue is full."""
+        """Queue a line; drop it if the queue is full."""
         line = {
             "t": round(time.monotonic(), 4),
             "at": self._origin,
@@ -68,12 +68,12 @@
 
 
 def set_event_log(log: EventLog | None) -> None:
-    """Write all events of this process there from now on."""
+    """Set the log for all events of this process; None discards them."""
     _Current.log = log
 
 
 def log_event(part: str, what: str, **fields: object) -> None:
-    """Write a decision or a change of belief.
+    """Log a decision or a change of state.
 
     Example: ``log_event("route", "send", request="r1", target="e-2")``
     """
@@ -82,15 +82,15 @@
 
 
 def lines_dropped() -> int:
-    """Return how many lines were dropped since the start."""
+    """Return the number of lines dropped since the log was created."""
     return 0 if _Current.log is None else _Current.log.dropped_ever
 
 
 class EventHandler(std_logging.Handler):
-    """Turns lines of the logging library into events."""
+    """Writes records of the logging library to the event log."""
 
     def emit(self, record: std_logging.LogRecord) -> None:
-        """Write a record as an event."""
+        """Log a record as an event."""
         part, _, text = record.getMessage().partition(": ")
         fields = {"text": text or part, "level": record.levelname}
         if record.exc_info:
--- a/libs/observe/src/bergamotsail/observe/_metrics.py
+++ b/libs/observe/src/bergamotsail/observe/_metrics.py
@@ -1,7 +1,7 @@
 """Histograms and counters, by name and labels.
 
-Histograms leave a daemon in HdrHistogram's encoded form, so that those of
-many daemons merge without loss.
+Histograms are exported in HdrHistogram's encoded form, so that those of many
+daemons can be merged without loss.
 """
 
 import collections
@@ -54,12 +54,12 @@
         }
 
     def reset(self) -> None:
-        """Forget all, as after a warm-up."""
+        """Delete all metrics, for example after a warm-up."""
         self._histogram_by_name.clear()
         self._counter_by_name.clear()
 
     def snapshot(self) -> MetricsSnapshot:
-        """Return all in a form that can be sent and merged."""
+        """Return all metrics in a form that can be sent and merged."""
         return MetricsSnapshot(
             {
                 name: recorded.encode().decode()
@@ -113,7 +113,7 @@
 
 
 def as_text(snapshot: MetricsSnapshot) -> str:
-    """Return one line for each figure: its name, its labels, its value.
+    """Return one line for each value: its name, its labels and the value.
 
     Example: ``request_p99_ms{code=done} 812.5``
     """
--- a/libs/observe/src/bergamotsail/observe/_work.py
+++ b/libs/observe/src/bergamotsail/observe/_work.py
@@ -1,7 +1,8 @@
-"""Where a process's time, messages and bytes go, by kind of work.
+"""Time, messages and bytes of a process, by kind of work.
 
-Only the steps that a coroutine runs are counted, not what it waits for.
-The figures are counters of the metrics, so they merge over daemons.
+Only the time in which a coroutine runs is counted, not the time in which it
+waits. The values are counters of the metrics, so they can be merged over
+daemons.
 
 Example::
 
@@ -30,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkDone:
-    """What one kind of work took.
+    """Totals of one kind of work.
 
     Args:
-        took_s: time of its own steps, in seconds.
-        received: bytes of the messages' bodies.
-        sent: bytes of the bodies that went out.
+        took_s: time in which it ran, in seconds.
+        received: bytes of the bodies that were received.
+        sent: bytes of the bodies that were sent.
     """
 
     took_s: float = 0.0
@@ -52,13 +53,13 @@
     ],
     *args: object,
 ) -> Result:
-    """Call *work* with its arguments and count the time of its steps."""
+    """Await *work* with its arguments and count the time that it runs."""
     return await _stepped(metrics, kind, work(*args))
 
 
 @types.coroutine
 def _stepped(metrics, kind, work):
-    """Pass on what the work waits for, and time what it does between."""
+    """Drive the coroutine *work* and count its time between awaits."""
     step, value = work.send, None
     try:
         while True:
@@ -78,7 +79,7 @@
 
 @contextlib.contextmanager
 def spent(metrics: Metrics, kind: str) -> collections.abc.Iterator[None]:
-    """Count the time of a block that waits for nothing."""
+    """Count the time of a block that doesn't await."""
     began = time.perf_counter()
     try:
         yield
@@ -90,21 +91,21 @@
 def count_message(
     metrics: Metrics, kind: str, received: int = 0, sent: int = 0
 ) -> None:
-    """Count a message with the bytes of its body and of its answer."""
+    """Count a message and the bytes received and sent for it."""
     metrics.count(MESSAGES, kind=kind)
     metrics.count(RECEIVED, received, kind=kind)
     metrics.count(SENT, sent, kind=kind)
 
 
 class WorkLog:
-    """Tells what was done since it was last asked."""
+    """Reports the work done since the previous report."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
         self._told: dict[str, int] = {}
 
     def since_last(self) -> dict[str, WorkDone]:
-        """Return what was done, by kind, the costliest first."""
+        """Return the work done by kind, in descending order of time."""
         counted = self._metrics.counters((TIME, MESSAGES, RECEIVED, SENT))
         grown = {
             key: count - self._told.get(key, 0)
