--- a/libs/explain/src/bergamotsail/explain/__init__.py
+++ b/libs/explain/src/bergamotsail/explain/__init__.py
@@ -15,7 +15,7 @@
 Event = _events.Event
 read_events = _events.read_events
 
-Journey = _journeys.Journey
+RequestTrace = _journeys.RequestTrace
 journeys = _journeys.journeys
 
 one_request = _summary.one_request
--- a/libs/explain/src/bergamotsail/explain/_events.py
+++ b/libs/explain/src/bergamotsail/explain/_events.py
@@ -71,12 +71,12 @@
         str(fields.get("at", "-")),
         str(fields["part"]),
         str(fields.get("what", "-")),
-        _request_of(fields),
+        _request_id(fields),
         fields,
     )
 
 
-def _request_of(fields: dict[str, object]) -> str | None:
+def _request_id(fields: dict[str, object]) -> str | None:
     """Return the ID of the caller's request, without its part after a dot.
 
     The part after the dot numbers the placements of the request.
--- a/libs/explain/src/bergamotsail/explain/_journeys.py
+++ b/libs/explain/src/bergamotsail/explain/_journeys.py
@@ -7,11 +7,11 @@
 from bergamotsail.explain import _events
 
 Event = _events.Event
-GOOD_STATUS = 200
+HTTP_OK_STATUS = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Journey:
+class RequestTrace:
     """Timeline of one request of a caller, in seconds.
 
     Args:
@@ -47,38 +47,38 @@
     running: int | None
 
 
-def journeys(events: collections.abc.Iterable[Event]) -> list[Journey]:
+def journeys(events: collections.abc.Iterable[Event]) -> list[RequestTrace]:
     """Return the timeline of each request that ended."""
     by_request: dict[str, list[Event]] = collections.defaultdict(list)
     for event in events:
         if event.request is not None:
             by_request[event.request].append(event)
     return [
-        journey
+        trace
         for own in by_request.values()
-        for end in _all(own, "route", "end")
-        if (journey := _journey(end, own)) is not None
+        for end in _select(own, "route", "end")
+        if (trace := _trace(end, own)) is not None
     ]
 
 
-def _all(events: list[Event], part: str, what: str) -> list[Event]:
+def _select(events: list[Event], part: str, what: str) -> list[Event]:
     return [e for e in events if (e.part, e.what) == (part, what)]
 
 
-def _journey(end: Event, own: list[Event]) -> Journey | None:
-    here = [e for e in own if e.daemon == end.daemon]
+def _trace(end: Event, own: list[Event]) -> RequestTrace | None:
+    local_events = [e for e in own if e.daemon == end.daemon]
     took_s = end.number("took_s")
     arrived_s = end.at_s - took_s
-    sends = _all(here, "route", "send")
+    sends = _select(local_events, "route", "send")
     wait_s = sends[0].at_s - arrived_s if sends else None
-    first_s = _first_s(here)
+    first_s = _first_s(local_events)
     engine_s = None
     if first_s is not None and wait_s is not None:
         engine_s = max(first_s - wait_s, 0.0)
-    grants = _all(own, "place", "grant")
+    grants = _select(own, "place", "grant")
     grant = grants[0] if grants else None
     adapter = end.fields.get("adapter")
-    return Journey(
+    return RequestTrace(
         str(end.request),
         end.daemon,
         str(end.fields.get("route", "-")),
@@ -99,9 +99,9 @@
     )
 
 
-def _first_s(here: list[Event]) -> float | None:
+def _first_s(local_events: list[Event]) -> float | None:
     """Return the time from arrival to the first answer with status 200."""
-    for answer in _all(here, "route", "answer"):
-        if answer.fields.get("status") == GOOD_STATUS:
+    for answer in _select(local_events, "route", "answer"):
+        if answer.fields.get("status") == HTTP_OK_STATUS:
             return answer.number("since_arrival_s")
     return None
--- a/libs/explain/src/bergamotsail/explain/_report.py
+++ b/libs/explain/src/bergamotsail/explain/_report.py
@@ -13,7 +13,7 @@
 from bergamotsail.explain import _summary
 
 Event = _events.Event
-Journey = _journeys.Journey
+RequestTrace = _journeys.RequestTrace
 BINS = 60
 WIDTH_IN = 9.0
 HEIGHT_IN = 3.2
@@ -21,15 +21,15 @@
 
 def write_report(
     path: pathlib.Path,
-    journeys: collections.abc.Sequence[Journey],
+    journeys: collections.abc.Sequence[RequestTrace],
     events: collections.abc.Sequence[Event],
 ) -> None:
     """Write the report to a file."""
     tables = html.escape("\n".join(_summary.summary(journeys, events)))
     plots = "\n".join(
         f'<h2>{html.escape(title)}</h2><img src="data:image/png;base64,'
-        f'{_png(drawn)}" alt="{html.escape(title)}">'
-        for title, drawn in _plots(journeys)
+        f'{_png(plot)}" alt="{html.escape(title)}">'
+        for title, plot in _plots(journeys)
     )
     path.write_text(
         "<!doctype html><html lang=en><meta charset=utf-8>"
@@ -40,41 +40,41 @@
 
 
 def _plots(
-    journeys: collections.abc.Sequence[Journey],
+    journeys: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[tuple[str, figure.Figure]]:
     waits = [j.wait_s for j in journeys if j.wait_s is not None]
     engines = [j.engine_s for j in journeys if j.engine_s is not None]
     yield "Wait for placement, seconds", _histogram(waits)
     yield "From send to first answer, seconds", _histogram(engines)
-    sure = [
+    estimated = [
         j
         for j in journeys
         if j.backlog_s is not None and j.engine_s is not None
     ]
     yield "Estimated backlog and time to first answer, seconds", _scatter(
-        [j.backlog_s for j in sure], [j.engine_s for j in sure]
+        [j.backlog_s for j in estimated], [j.engine_s for j in estimated]
     )
 
 
 def _histogram(values: list[float]) -> figure.Figure:
-    drawn = figure.Figure((WIDTH_IN, HEIGHT_IN))
-    axes = drawn.add_subplot()
+    plot = figure.Figure((WIDTH_IN, HEIGHT_IN))
+    axes = plot.add_subplot()
     axes.hist(values, bins=BINS)
     axes.set_xlabel("seconds")
     axes.set_ylabel("requests")
-    return drawn
+    return plot
 
 
-def _scatter(across: list[float], up: list[float]) -> figure.Figure:
-    drawn = figure.Figure((WIDTH_IN, HEIGHT_IN))
-    axes = drawn.add_subplot()
-    axes.scatter(across, up, s=4)
+def _scatter(x_values: list[float], y_values: list[float]) -> figure.Figure:
+    plot = figure.Figure((WIDTH_IN, HEIGHT_IN))
+    axes = plot.add_subplot()
+    axes.scatter(x_values, y_values, s=4)
     axes.set_xlabel("estimated backlog, seconds")
     axes.set_ylabel("send to first answer, seconds")
-    return drawn
+    return plot
 
 
-def _png(drawn: figure.Figure) -> str:
+def _png(plot: figure.Figure) -> str:
     buffer = io.BytesIO()
-    drawn.savefig(buffer, format="png", bbox_inches="tight")
+    plot.savefig(buffer, format="png", bbox_inches="tight")
     return base64.b64encode(buffer.getvalue()).decode()
--- a/libs/explain/src/bergamotsail/explain/_summary.py
+++ b/libs/explain/src/bergamotsail/explain/_summary.py
@@ -8,15 +8,15 @@
 from bergamotsail.explain import _work
 
 Event = _events.Event
-Journey = _journeys.Journey
+RequestTrace = _journeys.RequestTrace
 PERCENTILES = (50, 75, 90, 95, 99)
 BACKLOG_BOUNDS_S = (0.02, 0.1, 0.2, 0.4, 0.8, float("inf"))
 # Loads from a copy take less time than this, fetches from the store more.
-COPY_LOAD_S = 0.15
-MOST_ROWS = 12
+MAX_COPY_LOAD_S = 0.15
+MAX_ENGINE_ROWS = 12
 
 
-def percentile(values: collections.abc.Sequence[float], part: int) -> float:
+def percentile(values: collections.abc.Sequence[float], percent: int) -> float:
     """Return a percentile, or 0 if there are no values.
 
     Example: ``percentile([1.0, 2.0, 3.0], 50)`` gives 2.0.
@@ -24,20 +24,20 @@
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, len(ordered) * part // 100)]
+    return ordered[min(len(ordered) - 1, len(ordered) * percent // 100)]
 
 
 def summary(
-    journeys: collections.abc.Sequence[Journey],
+    journeys: collections.abc.Sequence[RequestTrace],
     events: collections.abc.Sequence[Event],
 ) -> list[str]:
     """Return the lines of the tables over all requests."""
     return [
         *_stages(journeys),
         "",
-        *_ends(journeys),
+        *_outcomes(journeys),
         "",
-        *_beliefs(journeys),
+        *_backlog_accuracy(journeys),
         "",
         *_loads(events),
         "",
@@ -50,22 +50,22 @@
 
 
 def _row(name: str, values: collections.abc.Sequence[float]) -> str:
-    shown = "".join(f"{percentile(values, p):8.3f}" for p in PERCENTILES)
-    return f"{name:32}{len(values):7}{shown}"
+    cells = "".join(f"{percentile(values, p):8.3f}" for p in PERCENTILES)
+    return f"{name:32}{len(values):7}{cells}"
 
 
-def _head(title: str) -> str:
-    shown = "".join(f"{'p' + str(p):>8}" for p in PERCENTILES)
-    return f"{title:32}{'n':>7}{shown}"
+def _header(title: str) -> str:
+    cells = "".join(f"{'p' + str(p):>8}" for p in PERCENTILES)
+    return f"{title:32}{'n':>7}{cells}"
 
 
 def _stages(
-    journeys: collections.abc.Sequence[Journey],
+    journeys: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
-    yield _head("stage, s")
-    by_route: dict[str, list[Journey]] = collections.defaultdict(list)
-    for journey in journeys:
-        by_route[journey.route].append(journey)
+    yield _header("stage, s")
+    by_route: dict[str, list[RequestTrace]] = collections.defaultdict(list)
+    for trace in journeys:
+        by_route[trace.route].append(trace)
     for route, own in sorted(by_route.items()):
         waits = [j.wait_s for j in own if j.wait_s is not None]
         engines = [j.engine_s for j in own if j.engine_s is not None]
@@ -78,8 +78,8 @@
         yield _row(f"{route} total", [j.took_s for j in own])
 
 
-def _ends(
-    journeys: collections.abc.Sequence[Journey],
+def _outcomes(
+    journeys: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     yield "requests by route and outcome"
     counts = collections.Counter((j.route, j.code) for j in journeys)
@@ -87,27 +87,29 @@
         yield f"{route:20}{code:20}{count:7}"
 
 
-def _beliefs(
-    journeys: collections.abc.Sequence[Journey],
+def _backlog_accuracy(
+    journeys: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     """Compare the estimated backlog with the actual time at the target."""
-    yield _head("time by estimated backlog, s")
-    sure = [
+    yield _header("time by estimated backlog, s")
+    estimated = [
         j
         for j in journeys
         if j.backlog_s is not None and j.engine_s is not None and j.sends == 1
     ]
-    least_s = 0.0
-    for most_s in BACKLOG_BOUNDS_S:
-        came = [j.engine_s for j in sure if least_s <= j.backlog_s < most_s]
-        yield _row(f"{least_s:.2f} to {most_s:.2f}", came)
-        least_s = most_s
+    lower_s = 0.0
+    for upper_s in BACKLOG_BOUNDS_S:
+        times = [
+            j.engine_s for j in estimated if lower_s <= j.backlog_s < upper_s
+        ]
+        yield _row(f"{lower_s:.2f} to {upper_s:.2f}", times)
+        lower_s = upper_s
 
 
 def _loads(
     events: collections.abc.Sequence[Event],
 ) -> collections.abc.Iterator[str]:
-    begun: dict[tuple[str, object, object], Event] = {}
+    started: dict[tuple[str, object, object], Event] = {}
     took: dict[bool, list[float]] = {True: [], False: []}
     fetched: list[str] = []
     for event in events:
@@ -119,18 +121,18 @@
             event.fields.get("adapter"),
         )
         if event.what == "load":
-            begun[key] = event
+            started[key] = event
             if not event.fields.get("copy"):
                 fetched.append(str(key[2]))
-        elif event.what == "loaded" and key in begun:
-            start = begun.pop(key)
+        elif event.what == "loaded" and key in started:
+            start = started.pop(key)
             is_copy = bool(start.fields.get("copy"))
             took[is_copy].append(event.at_s - start.at_s)
-    yield _head("loads, s")
+    yield _header("loads, s")
     yield _row("expected from a copy", took[True])
     yield _row("expected from the store", took[False])
-    slow = sum(seconds > COPY_LOAD_S for seconds in took[True])
-    fast = sum(seconds <= COPY_LOAD_S for seconds in took[False])
+    slow = sum(seconds > MAX_COPY_LOAD_S for seconds in took[True])
+    fast = sum(seconds <= MAX_COPY_LOAD_S for seconds in took[False])
     yield f"expected copies not found: {slow}; unexpected copies: {fast}"
     yield (
         f"fetches from the store: {len(fetched)}, of"
@@ -139,16 +141,16 @@
 
 
 def _engines(
-    journeys: collections.abc.Sequence[Journey],
+    journeys: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     """Show the distribution of load over the engines."""
-    by_target: dict[str, list[Journey]] = collections.defaultdict(list)
-    for journey in journeys:
-        if journey.target is not None and journey.adapter is not None:
-            by_target[journey.target].append(journey)
-    yield _head("time by engine, s")
+    by_target: dict[str, list[RequestTrace]] = collections.defaultdict(list)
+    for trace in journeys:
+        if trace.target is not None and trace.adapter is not None:
+            by_target[trace.target].append(trace)
+    yield _header("time by engine, s")
     busiest = sorted(by_target.items(), key=lambda item: -len(item[1]))
-    for target, own in busiest[:MOST_ROWS]:
+    for target, own in busiest[:MAX_ENGINE_ROWS]:
         engines = [j.engine_s for j in own if j.engine_s is not None]
         tokens = sum(j.new_tokens or 0 for j in own)
         yield f"{_row(target, engines)}  {tokens} tokens"
@@ -182,12 +184,12 @@
             after_s = event.at_s - here[0].at_s
             lines.append(
                 f"  {after_s:+9.4f} s  {event.part} {event.what}:"
-                f" {_shown(event.fields)}"
+                f" {_format_fields(event.fields)}"
             )
     return lines or [f"No events of request {request} found. Add more logs."]
 
 
-def _shown(fields: dict[str, object]) -> str:
+def _format_fields(fields: dict[str, object]) -> str:
     hidden = ("t", "wall", "at", "part", "what", "request")
     pairs = (f"{k}={v}" for k, v in fields.items() if k not in hidden)
     return " ".join(pairs)
--- a/libs/explain/src/bergamotsail/explain/_work.py
+++ b/libs/explain/src/bergamotsail/explain/_work.py
@@ -7,13 +7,13 @@
 from bergamotsail.explain import _events
 
 Event = _events.Event
-MILLI = 1000.0
-KILO = 1000.0
-MOST_KINDS = 16
+MS_PER_S = 1000.0
+BYTES_PER_KB = 1000.0
+MAX_KIND_ROWS = 16
 
 
 @dataclasses.dataclass(slots=True)
-class _Sum:
+class _WorkTotals:
     """Totals of one kind of work."""
 
     took_s: float = 0.0
@@ -21,9 +21,9 @@
     received: int = 0
     sent: int = 0
 
-    def add(self, figures: collections.abc.Sequence[float]) -> None:
+    def add(self, values: collections.abc.Sequence[float]) -> None:
         """Add the values of one line."""
-        took_s, messages, received, sent = figures
+        took_s, messages, received, sent = values
         self.took_s += took_s
         self.messages += int(messages)
         self.received += int(received)
@@ -48,16 +48,18 @@
 def _table(
     role: str, lines_by_daemon: dict[str, list[Event]]
 ) -> collections.abc.Iterator[str]:
-    busiest = max(lines_by_daemon, key=lambda d: _busy(lines_by_daemon[d]))
-    everyone = [line for own in lines_by_daemon.values() for line in own]
-    yield from _rows(f"{role}, mean of {len(lines_by_daemon)}", everyone)
+    busiest = max(
+        lines_by_daemon, key=lambda d: _utilization(lines_by_daemon[d])
+    )
+    all_lines = [line for own in lines_by_daemon.values() for line in own]
+    yield from _rows(f"{role}, mean of {len(lines_by_daemon)}", all_lines)
     yield from _rows(f"{role}, busiest {busiest}", lines_by_daemon[busiest])
 
 
-def _busy(lines: list[Event]) -> float:
+def _utilization(lines: list[Event]) -> float:
     """Return the fraction of the time in which a process worked."""
     over_s = sum(line.number("over_s") for line in lines)
-    took_s = sum(done.took_s for done in _sums(lines).values())
+    took_s = sum(done.took_s for done in _totals_by_kind(lines).values())
     return took_s / over_s if over_s else 0.0
 
 
@@ -70,21 +72,25 @@
     )
     if not over_s:
         return
-    ranked = sorted(_sums(lines).items(), key=lambda item: -item[1].took_s)
-    for kind, done in ranked[:MOST_KINDS]:
+    ranked = sorted(
+        _totals_by_kind(lines).items(), key=lambda item: -item[1].took_s
+    )
+    for kind, done in ranked[:MAX_KIND_ROWS]:
         yield (
-            f"  {kind:42}{done.took_s * MILLI / over_s:9.2f}"
+            f"  {kind:42}{done.took_s * MS_PER_S / over_s:9.2f}"
             f"{done.messages / over_s:9.2f}"
-            f"{done.received / KILO / over_s:9.3f}"
-            f"{done.sent / KILO / over_s:9.3f}"
+            f"{done.received / BYTES_PER_KB / over_s:9.3f}"
+            f"{done.sent / BYTES_PER_KB / over_s:9.3f}"
         )
 
 
-def _sums(lines: list[Event]) -> dict[str, _Sum]:
-    sums: dict[str, _Sum] = collections.defaultdict(_Sum)
+def _totals_by_kind(lines: list[Event]) -> dict[str, _WorkTotals]:
+    totals_by_kind: dict[str, _WorkTotals] = collections.defaultdict(
+        _WorkTotals
+    )
     for line in lines:
         by_kind = line.fields.get("by_kind")
         if isinstance(by_kind, dict):
-            for kind, figures in by_kind.items():
-                sums[kind].add(figures)
-    return sums
+            for kind, values in by_kind.items():
+                totals_by_kind[kind].add(values)
+    return totals_by_kind
--- a/libs/observe/src/bergamotsail/observe/_events.py
+++ b/libs/observe/src/bergamotsail/observe/_events.py
@@ -12,7 +12,7 @@
 import threading
 import time
 
-MAX_QUEUED = 5_000
+MAX_QUEUED_LINES = 5_000
 
 
 class EventLog:
@@ -21,9 +21,9 @@
     def __init__(self, origin: str, stream=None) -> None:
         self._origin = origin
         self._stream = stream if stream is not None else sys.stdout
-        self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED)
+        self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._dropped = 0
-        self.dropped_ever = 0
+        self.dropped_total = 0
         self._thread = threading.Thread(target=self._write, daemon=True)
 
     def __enter__(self) -> "EventLog":
@@ -52,7 +52,7 @@
             self._dropped = 0
         except queue.Full:
             self._dropped += 1
-            self.dropped_ever += 1
+            self.dropped_total += 1
 
     def _write(self) -> None:
         while (line := self._lines.get()) is not None:
@@ -83,7 +83,7 @@
 
 def lines_dropped() -> int:
     """Return the number of lines dropped since the log was created."""
-    return 0 if _Current.log is None else _Current.log.dropped_ever
+    return 0 if _Current.log is None else _Current.log.dropped_total
 
 
 class EventHandler(std_logging.Handler):
--- a/libs/observe/src/bergamotsail/observe/_metrics.py
+++ b/libs/observe/src/bergamotsail/observe/_metrics.py
@@ -10,9 +10,9 @@
 
 from hdrh import histogram
 
-LOWEST = 1
-HIGHEST = 3_600_000_000
-DIGITS = 2
+MIN_US = 1
+MAX_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50, 95, 99, 100)
 
 
@@ -36,7 +36,7 @@
         full = full_name(name, labels)
         if full not in self._histogram_by_name:
             self._histogram_by_name[full] = _new_histogram()
-        microseconds = min(max(int(seconds * 1e6), LOWEST), HIGHEST)
+        microseconds = min(max(int(seconds * 1e6), MIN_US), MAX_US)
         self._histogram_by_name[full].record_value(microseconds)
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
@@ -126,4 +126,4 @@
 
 
 def _new_histogram() -> histogram.HdrHistogram:
-    return histogram.HdrHistogram(LOWEST, HIGHEST, DIGITS)
+    return histogram.HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
--- a/libs/observe/src/bergamotsail/observe/_work.py
+++ b/libs/observe/src/bergamotsail/observe/_work.py
@@ -23,7 +23,7 @@
 MESSAGES = "work_messages"
 RECEIVED = "work_received_bytes"
 SENT = "work_sent_bytes"
-MICRO = 1e6
+US_PER_S = 1e6
 
 Result = typing.TypeVar("Result")
 Metrics = _metrics.Metrics
@@ -54,11 +54,11 @@
     *args: object,
 ) -> Result:
     """Await *work* with its arguments and count the time that it runs."""
-    return await _stepped(metrics, kind, work(*args))
+    return await _drive(metrics, kind, work(*args))
 
 
 @types.coroutine
-def _stepped(metrics, kind, work):
+def _drive(metrics, kind, work):
     """Drive the coroutine *work* and count its time between awaits."""
     step, value = work.send, None
     try:
@@ -84,7 +84,7 @@
     try:
         yield
     finally:
-        took_us = int((time.perf_counter() - began) * MICRO)
+        took_us = int((time.perf_counter() - began) * US_PER_S)
         metrics.count(TIME, took_us, kind=kind)
 
 
@@ -102,18 +102,18 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._told: dict[str, int] = {}
+        self._last_counts: dict[str, int] = {}
 
     def since_last(self) -> dict[str, WorkDone]:
         """Return the work done by kind, in descending order of time."""
         counted = self._metrics.counters((TIME, MESSAGES, RECEIVED, SENT))
-        grown = {
-            key: count - self._told.get(key, 0)
+        increases = {
+            key: count - self._last_counts.get(key, 0)
             for key, count in counted.items()
         }
-        self._told = counted
+        self._last_counts = counted
         by_kind: dict[str, dict[str, int]] = {}
-        for key, count in grown.items():
+        for key, count in increases.items():
             name, _, labels = key.partition("{kind=")
             if count:
                 by_kind.setdefault(labels.rstrip("}"), {})[name] = count
@@ -123,7 +123,7 @@
 
 def _done(counts: dict[str, int]) -> WorkDone:
     return WorkDone(
-        counts.get(TIME, 0) / MICRO,
+        counts.get(TIME, 0) / US_PER_S,
         counts.get(MESSAGES, 0),
         counts.get(RECEIVED, 0),
         counts.get(SENT, 0),
--- a/libs/settings/src/bergamotsail/settings/__init__.py
+++ b/libs/settings/src/bergamotsail/settings/__init__.py
@@ -14,7 +14,7 @@
 parse = _check.parse
 
 explain = _explain.explain
-FieldNote = _explain.FieldNote
+SettingDescription = _explain.SettingDescription
 
 AdmissionFields = _model.AdmissionFields
 ConsensusFields = _model.ConsensusFields
--- a/libs/settings/src/bergamotsail/settings/_check.py
+++ b/libs/settings/src/bergamotsail/settings/_check.py
@@ -13,7 +13,7 @@
 
 from bergamotsail.settings import _model
 
-LEASE_HEARTBEATS = 3
+MIN_HEARTBEATS_PER_LEASE = 3
 
 
 class SettingFault(ValueError):
@@ -44,7 +44,9 @@
     try:
         text = pathlib.Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise _group([SettingFault(str(path), f"can't be read: {error}")])
+        raise _settings_error(
+            [SettingFault(str(path), f"can't be read: {error}")]
+        )
     return parse(text)
 
 
@@ -53,26 +55,26 @@
     try:
         data = json.loads(text)
     except ValueError as error:
-        raise _group([SettingFault("$", f"invalid JSON: {error}")])
+        raise _settings_error([SettingFault("$", f"invalid JSON: {error}")])
     try:
         settings = _converter().structure(data, _model.DaemonSettings)
     except cattrs.BaseValidationError as error:
-        raise _group(list(_faults_of(error)))
+        raise _settings_error(list(_structure_faults(error)))
     faults = list(_range_faults(settings, "$"))
-    faults.extend(_meaning_faults(settings))
+    faults.extend(_semantic_faults(settings))
     if faults:
-        raise _group(faults)
+        raise _settings_error(faults)
     return settings
 
 
-def _group(faults: list[SettingFault]) -> SettingsError:
+def _settings_error(faults: list[SettingFault]) -> SettingsError:
     return SettingsError("Invalid settings", faults)
 
 
 def _converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True)
     for kind in (str, int, float, bool):
-        converter.register_structure_hook(kind, _strict)
+        converter.register_structure_hook(kind, _structure_exact)
     for kind in _nested_types(_model.DaemonSettings):
         hook = gen.make_dict_structure_fn(
             kind, converter, _cattrs_forbid_extra_keys=True
@@ -88,7 +90,7 @@
     yield kind
 
 
-def _strict(value: object, kind: type) -> object:
+def _structure_exact(value: object, kind: type) -> object:
     """Return a value of exactly this type; an int is valid as a float."""
     if kind is float and type(value) is int:
         return float(value)
@@ -98,7 +100,7 @@
     return value
 
 
-def _faults_of(
+def _structure_faults(
     error: cattrs.BaseValidationError,
 ) -> collections.abc.Iterator[SettingFault]:
     for line in cattrs.transform_error(error, format_exception=_describe):
@@ -131,7 +133,7 @@
             )
 
 
-def _meaning_faults(
+def _semantic_faults(
     settings: _model.DaemonSettings,
 ) -> collections.abc.Iterator[SettingFault]:
     if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9-]{0,63}", settings.name):
@@ -157,7 +159,7 @@
             "remove this setting",
         )
     lease = settings.lease
-    if lease.heartbeat_s * LEASE_HEARTBEATS > lease.lease_s:
+    if lease.heartbeat_s * MIN_HEARTBEATS_PER_LEASE > lease.lease_s:
         yield SettingFault(
             "$.lease.heartbeat_s", "must be at most a third of lease_s"
         )
--- a/libs/settings/src/bergamotsail/settings/_explain.py
+++ b/libs/settings/src/bergamotsail/settings/_explain.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FieldNote:
+class SettingDescription:
     """A setting: its path, type, default, range and description."""
 
     path: str
@@ -20,7 +20,7 @@
 
 def explain(
     kind: type = _model.DaemonSettings, path: str = ""
-) -> collections.abc.Iterator[FieldNote]:
+) -> collections.abc.Iterator[SettingDescription]:
     """Yield a description of each setting."""
     for field in dataclasses.fields(kind):
         inner_path = f"{path}{field.name}"
@@ -28,7 +28,7 @@
             yield from explain(field.type, f"{inner_path}.")
             continue
         allowed = field.metadata.get("range")
-        yield FieldNote(
+        yield SettingDescription(
             inner_path,
             _kind_name(field.type),
             _default_of(field),
--- a/libs/wire/src/bergamotsail/wire/_background.py
+++ b/libs/wire/src/bergamotsail/wire/_background.py
@@ -19,12 +19,14 @@
 
     def start(
         self,
-        *works: collections.abc.Callable[
+        *functions: collections.abc.Callable[
             [], collections.abc.Coroutine[None, None, None]
         ],
     ) -> None:
         """Run each coroutine function in its own task."""
-        self._tasks += [asyncio.create_task(work()) for work in works]
+        self._tasks += [
+            asyncio.create_task(function()) for function in functions
+        ]
 
     async def stop(self) -> None:
         """Cancel the tasks and wait until they have ended."""
--- a/libs/wire/src/bergamotsail/wire/_codec.py
+++ b/libs/wire/src/bergamotsail/wire/_codec.py
@@ -8,7 +8,7 @@
 from bergamotsail.wire import _errors
 
 T = typing.TypeVar("T")
-UNREADABLE = "\ufffd".encode()
+REPLACEMENT_CHARACTER = "\ufffd".encode()
 
 
 def encode(value: object) -> bytes:
@@ -39,20 +39,20 @@
 def decode_each(
     items: collections.abc.Iterable[msgspec.Raw],
     kind: type[T],
-    refused: collections.abc.Callable[[_errors.BadMessageError], None],
+    on_invalid: collections.abc.Callable[[_errors.BadMessageError], None],
 ) -> collections.abc.Iterator[T]:
     """Decode items one by one, and skip those that are invalid.
 
     Args:
-        refused: called with the error of each item that is skipped.
+        on_invalid: called with the error of each item that is skipped.
     """
     for item in items:
         try:
-            if UNREADABLE in bytes(item):
+            if REPLACEMENT_CHARACTER in bytes(item):
                 raise _errors.BadMessageError("The item is not valid UTF-8.")
             yield decode(bytes(item), kind)
         except _errors.BadMessageError as error:
-            refused(error)
+            on_invalid(error)
 
 
 def readable(data: bytes) -> bytes:
--- a/libs/wire/src/bergamotsail/wire/_curl.py
+++ b/libs/wire/src/bergamotsail/wire/_curl.py
@@ -19,12 +19,12 @@
 from bergamotsail.wire import _http
 
 MAX_BUFFERED_BYTES = 256 * 1024
-KEPT_CONNECTIONS = 64
-KEPT_IDLE_S = 4
-SILENT_MS = 3_000
-KEEPALIVE_S = 1
-GUARD_S = 0.2
-MILLI = 1000
+MAX_CACHED_CONNECTIONS = 64
+MAX_IDLE_S = 4
+TCP_USER_TIMEOUT_MS = 3_000
+KEEPALIVE_INTERVAL_S = 1
+TIMEOUT_CHECK_INTERVAL_S = 0.2
+MS_PER_S = 1000
 
 Header = tuple[str, str]
 
@@ -79,20 +79,20 @@
         self._pieces: collections.deque[bytes] = collections.deque()
         self._buffered = 0
         self._paused = False
-        self._wake = asyncio.Event()
-        self._over = False
+        self._changed = asyncio.Event()
+        self._ended = False
         self._failure: _errors.ServingError | None = None
 
     async def __aenter__(self) -> "Exchange":
         self._head = asyncio.get_running_loop().create_future()
-        self._curl = self._handle()
+        self._curl = self._create_handle()
         self._client.start(self, self._curl)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.abandon()
+        self.abort()
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         """Close the connection unless the exchange has ended."""
         curl, self._curl = self._curl, None
         if curl is not None:
@@ -118,10 +118,10 @@
                 self._buffered -= len(piece)
                 self._resume()
                 yield piece
-            if self._over:
+            if self._ended:
                 break
-            self._wake.clear()
-            await self._wake.wait()
+            self._changed.clear()
+            await self._changed.wait()
         if self._failure is not None:
             raise self._failure
 
@@ -131,7 +131,7 @@
 
     # The libcurl handle and its callbacks.
 
-    def _handle(self) -> pycurl.Curl:
+    def _create_handle(self) -> pycurl.Curl:
         request = self._request
         curl = pycurl.Curl()
         curl.setopt(pycurl.URL, request.url)
@@ -143,19 +143,19 @@
         curl.setopt(pycurl.HTTP09_ALLOWED, 0)
         self._set_body(curl, request)
         curl.setopt(pycurl.HTTPHEADER, self._header_lines())
-        connect_ms = int(request.connect_timeout_s * MILLI)
+        connect_ms = int(request.connect_timeout_s * MS_PER_S)
         curl.setopt(pycurl.CONNECTTIMEOUT_MS, max(connect_ms, 1))
         if request.timeout_s > 0:
-            timeout_ms = int(request.timeout_s * MILLI)
+            timeout_ms = int(request.timeout_s * MS_PER_S)
             curl.setopt(pycurl.TIMEOUT_MS, max(timeout_ms, 1))
         curl.setopt(pycurl.FRESH_CONNECT, 0 if self._keep else 1)
         curl.setopt(pycurl.FORBID_REUSE, 0 if self._keep else 1)
-        curl.setopt(pycurl.MAXAGE_CONN, KEPT_IDLE_S)
+        curl.setopt(pycurl.MAXAGE_CONN, MAX_IDLE_S)
         curl.setopt(pycurl.TCP_KEEPALIVE, 1)
-        curl.setopt(pycurl.TCP_KEEPIDLE, KEEPALIVE_S)
-        curl.setopt(pycurl.TCP_KEEPINTVL, KEEPALIVE_S)
+        curl.setopt(pycurl.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+        curl.setopt(pycurl.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
         curl.setopt(pycurl.TCP_NODELAY, 1)
-        curl.setopt(pycurl.SOCKOPTFUNCTION, _bound_silence)
+        curl.setopt(pycurl.SOCKOPTFUNCTION, _set_tcp_user_timeout)
         curl.setopt(pycurl.PREREQFUNCTION, self._before_write)
         curl.setopt(pycurl.HEADERFUNCTION, self._on_header)
         curl.setopt(pycurl.WRITEFUNCTION, self._on_piece)
@@ -216,7 +216,7 @@
             return pycurl.WRITEFUNC_PAUSE
         self._pieces.append(bytes(piece))
         self._buffered += len(piece)
-        self._wake.set()
+        self._changed.set()
         return None
 
     def _resume(self) -> None:
@@ -228,18 +228,18 @@
     def finish(self, error: tuple[int, str] | None) -> None:
         """Record the end of the transfer; *error* is libcurl's, if any."""
         self._curl = None
-        self._over = True
+        self._ended = True
         if error is not None:
-            self._failure = self._lost(error)
+            self._failure = self._transport_error(error)
         elif self._head is not None and not self._head.done():
-            self._failure = self._lost((0, "incomplete reply head"))
+            self._failure = self._transport_error((0, "incomplete reply head"))
         if self._head is not None and not self._head.done():
             self._head.set_exception(self._failure)
             # Marks the exception as retrieved, as nobody may await the head.
             self._head.exception()
-        self._wake.set()
+        self._changed.set()
 
-    def _lost(self, error: tuple[int, str]) -> _errors.ServingError:
+    def _transport_error(self, error: tuple[int, str]) -> _errors.ServingError:
         request = self._request
         text = f"{request.method} {request.url}: {error[0]} {error[1]}"
         if self.sent:
@@ -255,12 +255,14 @@
         )
 
 
-def _bound_silence(fd: int, _: int) -> int:
+def _set_tcp_user_timeout(fd: int, _: int) -> int:
     """Have the kernel close a connection whose peer stops responding."""
     user_timeout = socket.TCP_USER_TIMEOUT
     with socket.socket(fileno=fd) as sock:
         try:
-            sock.setsockopt(socket.IPPROTO_TCP, user_timeout, SILENT_MS)
+            sock.setsockopt(
+                socket.IPPROTO_TCP, user_timeout, TCP_USER_TIMEOUT_MS
+            )
         finally:
             sock.detach()
     return pycurl.SOCKOPT_OK
@@ -273,17 +275,17 @@
         self._multi = pycurl.CurlMulti()
         self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._on_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._on_timer)
-        self._multi.setopt(pycurl.M_MAXCONNECTS, KEPT_CONNECTIONS)
+        self._multi.setopt(pycurl.M_MAXCONNECTS, MAX_CACHED_CONNECTIONS)
         self._exchange_by_curl: dict[pycurl.Curl, Exchange] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._guard: asyncio.TimerHandle | None = None
+        self._timeout_check: asyncio.TimerHandle | None = None
         self._fds: dict[int, int] = {}
 
     def close(self) -> None:
         """Close all connections."""
         for curl in list(self._exchange_by_curl):
-            self._exchange_by_curl[curl].abandon()
-        for timer in (self._timer, self._guard):
+            self._exchange_by_curl[curl].abort()
+        for timer in (self._timer, self._timeout_check):
             if timer is not None:
                 timer.cancel()
         self._multi.close()
@@ -326,7 +328,7 @@
         """Start a transfer."""
         self._exchange_by_curl[curl] = exchange
         self._multi.add_handle(curl)
-        self._keep_guard()
+        self._schedule_timeout_check()
 
     def drop(self, curl: pycurl.Curl) -> None:
         """Abort a transfer and close its connection."""
@@ -343,20 +345,20 @@
 
     def _on_socket(self, what: int, fd: int, *_: object) -> None:
         loop = asyncio.get_running_loop()
-        had = self._fds.get(fd, 0)
+        previous = self._fds.get(fd, 0)
         if what == pycurl.POLL_REMOVE:
-            want = 0
+            events = 0
             self._fds.pop(fd, None)
         else:
-            want = what
-            self._fds[fd] = want
-        if want & pycurl.POLL_IN:
-            loop.add_reader(fd, self._act, fd, pycurl.CSELECT_IN)
-        elif had & pycurl.POLL_IN:
+            events = what
+            self._fds[fd] = events
+        if events & pycurl.POLL_IN:
+            loop.add_reader(fd, self._socket_action, fd, pycurl.CSELECT_IN)
+        elif previous & pycurl.POLL_IN:
             loop.remove_reader(fd)
-        if want & pycurl.POLL_OUT:
-            loop.add_writer(fd, self._act, fd, pycurl.CSELECT_OUT)
-        elif had & pycurl.POLL_OUT:
+        if events & pycurl.POLL_OUT:
+            loop.add_writer(fd, self._socket_action, fd, pycurl.CSELECT_OUT)
+        elif previous & pycurl.POLL_OUT:
             loop.remove_writer(fd)
 
     def _on_timer(self, timeout_ms: int) -> None:
@@ -365,42 +367,49 @@
             self._timer = None
         if timeout_ms >= 0:
             self._timer = asyncio.get_running_loop().call_later(
-                timeout_ms / MILLI, self._act, pycurl.SOCKET_TIMEOUT, 0
+                timeout_ms / MS_PER_S,
+                self._socket_action,
+                pycurl.SOCKET_TIMEOUT,
+                0,
             )
 
-    def _keep_guard(self) -> None:
+    def _schedule_timeout_check(self) -> None:
         """Have libcurl check its timeouts periodically.
 
         libcurl doesn't request another timer if one fired slightly too early
         by its own clock, and the transfer would then hang.
         """
-        if self._guard is None and self._exchange_by_curl:
+        if self._timeout_check is None and self._exchange_by_curl:
             loop = asyncio.get_running_loop()
-            self._guard = loop.call_later(GUARD_S, self._on_guard)
+            self._timeout_check = loop.call_later(
+                TIMEOUT_CHECK_INTERVAL_S, self._on_timeout_check
+            )
 
-    def _on_guard(self) -> None:
-        self._guard = None
+    def _on_timeout_check(self) -> None:
+        self._timeout_check = None
         self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
-        self._collect()
-        self._keep_guard()
+        self._collect_finished()
+        self._schedule_timeout_check()
 
-    def _act(self, fd: int, events: int) -> None:
+    def _socket_action(self, fd: int, events: int) -> None:
         if fd == pycurl.SOCKET_TIMEOUT:
             self._timer = None
         self._multi.socket_action(fd, events)
-        self._collect()
+        self._collect_finished()
 
-    def _collect(self) -> None:
+    def _collect_finished(self) -> None:
         while True:
             left, done, failed = self._multi.info_read()
             for curl in done:
-                self._end(curl, None)
+                self._finish_transfer(curl, None)
             for curl, code, text in failed:
-                self._end(curl, (code, text))
+                self._finish_transfer(curl, (code, text))
             if left == 0:
                 return
 
-    def _end(self, curl: pycurl.Curl, error: tuple[int, str] | None) -> None:
+    def _finish_transfer(
+        self, curl: pycurl.Curl, error: tuple[int, str] | None
+    ) -> None:
         exchange = self._exchange_by_curl.pop(curl, None)
         self._multi.remove_handle(curl)
         curl.close()
--- a/libs/wire/src/bergamotsail/wire/_http.py
+++ b/libs/wire/src/bergamotsail/wire/_http.py
@@ -59,13 +59,13 @@
     body: bytes
 
 
-class _Sending:
-    """Tracks whether a request was written or abandoned."""
+class _SendState:
+    """Tracks whether a request was written or aborted."""
 
     def __init__(self, request: HttpRequest) -> None:
         self._request = request
         self.sent = False
-        self.abandoned = False
+        self.aborted = False
 
     def prepare(self, handle: pycurl.Curl) -> None:
         handle.setopt(pycurl.PREREQFUNCTION, self._before_write)
@@ -79,13 +79,13 @@
         if self._request.once and self.sent:
             return pycurl.PREREQFUNC_ABORT
         gate = self._request.gate
-        if self.abandoned or (gate is not None and not gate()):
+        if self.aborted or (gate is not None and not gate()):
             return pycurl.PREREQFUNC_ABORT
         self.sent = True
         return pycurl.PREREQFUNC_OK
 
     def _on_progress(self, *_: int) -> int:
-        return 1 if self.abandoned else 0
+        return 1 if self.aborted else 0
 
 
 class HttpClient:
@@ -113,16 +113,16 @@
             NotSentError: nothing was written.
             PeerLostError: the reply was lost after writing.
         """
-        sending = _Sending(request)
+        send_state = _SendState(request)
         try:
             reply = await self._curl.fetch(
-                self._tornado_request(request, sending), raise_error=False
+                self._tornado_request(request, send_state), raise_error=False
             )
         except asyncio.CancelledError:
-            sending.abandoned = True
+            send_state.aborted = True
             raise
         except httpclient.HTTPError as error:
-            raise _lost(error, sending, request) from error
+            raise _transport_error(error, send_state, request) from error
         return HttpReply(
             reply.code, dict(reply.headers.get_all()), reply.body or b""
         )
@@ -139,7 +139,7 @@
             NotSentError: nothing was written.
             PeerLostError: the reply was incomplete.
         """
-        sending = _Sending(request)
+        send_state = _SendState(request)
         chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
         buffered = 0
 
@@ -147,13 +147,13 @@
             nonlocal buffered
             buffered += len(chunk)
             if buffered > MAX_BUFFERED_BYTES:
-                sending.abandoned = True
+                send_state.aborted = True
             chunks.put_nowait(chunk)
 
         async def fetch() -> httpclient.HTTPResponse:
             try:
                 return await self._curl.fetch(
-                    self._tornado_request(request, sending, on_chunk),
+                    self._tornado_request(request, send_state, on_chunk),
                     raise_error=False,
                 )
             finally:
@@ -171,17 +171,17 @@
             try:
                 await fetching
             except httpclient.HTTPError as error:
-                raise _lost(error, sending, request) from error
+                raise _transport_error(error, send_state, request) from error
             if rest.strip():
                 yield rest.strip()
         finally:
-            sending.abandoned = True
+            send_state.aborted = True
             fetching.cancel()
 
     def _tornado_request(
         self,
         request: HttpRequest,
-        sending: _Sending,
+        send_state: _SendState,
         on_chunk: collections.abc.Callable[[bytes], None] | None = None,
     ) -> httpclient.HTTPRequest:
         return httpclient.HTTPRequest(
@@ -194,17 +194,17 @@
             follow_redirects=False,
             allow_nonstandard_methods=True,
             decompress_response=False,
-            prepare_curl_callback=sending.prepare,
+            prepare_curl_callback=send_state.prepare,
             streaming_callback=on_chunk,
         )
 
 
-def _lost(
-    error: httpclient.HTTPError, sending: _Sending, request: HttpRequest
+def _transport_error(
+    error: httpclient.HTTPError, send_state: _SendState, request: HttpRequest
 ) -> _errors.ServingError:
     """Return the typed error, which depends on whether anything was sent."""
     text = f"{request.method} {request.url}: {error}"
-    if sending.sent:
+    if send_state.sent:
         return _errors.PeerLostError(
             f"No complete reply was received ({text}). Retry only if the "
             "work may be repeated."
--- a/libs/wire/src/bergamotsail/wire/_lazy.py
+++ b/libs/wire/src/bergamotsail/wire/_lazy.py
@@ -27,7 +27,7 @@
         for name in names
     }
 
-    def load(name: str) -> object:
+    def import_name(name: str) -> object:
         if name not in module_by_name:
             raise AttributeError(
                 f"module {package!r} has no attribute {name!r}; "
@@ -36,4 +36,4 @@
         path = f"{package}.{module_by_name[name]}"
         return getattr(importlib.import_module(path), name)
 
-    return load
+    return import_name
--- a/libs/wire/src/bergamotsail/wire/_peers.py
+++ b/libs/wire/src/bergamotsail/wire/_peers.py
@@ -120,7 +120,7 @@
     Args:
         http: the client to use.
         token: the shared secret of all daemons.
-        called: called after each reply that is not a stream, with the name
+        on_reply: called after each reply that is not a stream, with the name
             of the call and the bytes of the request and reply bodies.
     """
 
@@ -128,13 +128,13 @@
         self,
         http: _http.HttpClient,
         token: str,
-        called: collections.abc.Callable[[str, int, int], None] = (
+        on_reply: collections.abc.Callable[[str, int, int], None] = (
             lambda name, sent, received: None
         ),
     ) -> None:
         self._http = http
         self._token = token
-        self._called = called
+        self._on_reply = on_reply
 
     async def call(
         self,
@@ -145,7 +145,7 @@
     ) -> Reply:
         request = self._request(address, call, message, timeout_s)
         reply = await self._http.fetch(request)
-        self._called(call.name, len(request.body), len(reply.body))
+        self._on_reply(call.name, len(request.body), len(reply.body))
         if reply.status != 200:
             raise _errors.error_from_body(
                 _codec.decode(reply.body, _errors.ErrorBody)
--- a/libs/wire/src/bergamotsail/wire/_streams.py
+++ b/libs/wire/src/bergamotsail/wire/_streams.py
@@ -12,7 +12,7 @@
 
 Check = collections.abc.Callable[[], _errors.ServingError | None]
 
-READ_AHEAD = 64
+MAX_QUEUED_ITEMS = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
             that long; returns the error to raise, or None to keep waiting.
     """
     loop = asyncio.get_running_loop()
-    queue: asyncio.Queue = asyncio.Queue(READ_AHEAD)
+    queue: asyncio.Queue = asyncio.Queue(MAX_QUEUED_ITEMS)
     reading = asyncio.create_task(_read(items, queue))
     item_at = loop.time()
     timer: asyncio.TimerHandle | None = None
