--- a/libs/explain/src/bergamotsail/explain/__init__.py
+++ b/libs/explain/src/bergamotsail/explain/__init__.py
@@ -1,10 +1,12 @@
 """Analysis of requests, from the event logs of any number of daemons.
 
+``read_events`` parses the logs, ``journeys`` returns a trace of each request,
+and ``summary`` formats tables of them.
+
 Example::
 
     events = explain.read_events(paths)
-    journeys = explain.journeys(events)
-    print("\\n".join(explain.summary(journeys, events)))
+    print("\\n".join(explain.one_request("r1", events)))
 """
 
 from bergamotsail.explain import _events
--- a/libs/explain/src/bergamotsail/explain/_journeys.py
+++ b/libs/explain/src/bergamotsail/explain/_journeys.py
@@ -48,7 +48,7 @@
 
 
 def journeys(events: collections.abc.Iterable[Event]) -> list[RequestTrace]:
-    """Return the timeline of each request that ended."""
+    """Return a trace of each request that ended."""
     by_request: dict[str, list[Event]] = collections.defaultdict(list)
     for event in events:
         if event.request is not None:
--- a/libs/observe/src/bergamotsail/observe/_events.py
+++ b/libs/observe/src/bergamotsail/observe/_events.py
@@ -64,6 +64,8 @@
 
 
 class _Current:
+    """Holds the event log of this process."""
+
     log: EventLog | None = None
 
 
--- a/libs/wire/src/bergamotsail/wire/_http.py
+++ b/libs/wire/src/bergamotsail/wire/_http.py
@@ -202,7 +202,7 @@
 def _transport_error(
     error: httpclient.HTTPError, send_state: _SendState, request: HttpRequest
 ) -> _errors.ServingError:
-    """Return the typed error, which depends on whether anything was sent."""
+    """Return the typed error; its type says whether anything was sent."""
     text = f"{request.method} {request.url}: {error}"
     if send_state.sent:
         return _errors.PeerLostError(
--- a/libs/wire/src/bergamotsail/wire/_steps.py
+++ b/libs/wire/src/bergamotsail/wire/_steps.py
@@ -1,7 +1,7 @@
 """Fault injection points.
 
-In production :class:`NoSteps` is used, which costs one awaited call at each
-point.
+Production code uses :class:`NoSteps`, which costs one awaited call at
+each point.
 """
 
 import abc
