--- a/libs/explain/src/bergamotsail/explain/__init__.py
+++ b/libs/explain/src/bergamotsail/explain/__init__.py
@@ -1,7 +1,7 @@
 """Analysis of requests, from the event logs of any number of daemons.
 
-``read_events`` parses the logs, ``journeys`` returns a trace of each request,
-and ``summary`` formats tables of them.
+``read_events`` parses the logs, ``journeys`` returns a trace of each
+request, and ``summary`` formats tables of them.
 
 Example::
 
