--- a/libs/explain/src/bergamotsail/explain/__init__.py
+++ b/libs/explain/src/bergamotsail/explain/__init__.py
@@ -1,12 +1,12 @@
 """Analysis of requests, from the event logs of any number of daemons.
 
-``read_events`` parses the logs, ``journeys`` returns a trace of each
+``read_events`` parses the logs, ``request_traces`` returns a trace of each
 request, and ``summary`` formats tables of them.
 
 Example::
 
     events = explain.read_events(paths)
-    print("\\n".join(explain.one_request("r1", events)))
+    print("\\n".join(explain.describe_request("r1", events)))
 """
 
 from bergamotsail.explain import _events
@@ -18,9 +18,9 @@
 read_events = _events.read_events
 
 RequestTrace = _journeys.RequestTrace
-journeys = _journeys.journeys
+request_traces = _journeys.request_traces
 
-one_request = _summary.one_request
+describe_request = _summary.describe_request
 summary = _summary.summary
 
 # The plots need matplotlib, which daemons run without.
--- a/libs/explain/src/bergamotsail/explain/_journeys.py
+++ b/libs/explain/src/bergamotsail/explain/_journeys.py
@@ -47,7 +47,9 @@
     running: int | None
 
 
-def journeys(events: collections.abc.Iterable[Event]) -> list[RequestTrace]:
+def request_traces(
+    events: collections.abc.Iterable[Event],
+) -> list[RequestTrace]:
     """Return a trace of each request that ended."""
     by_request: dict[str, list[Event]] = collections.defaultdict(list)
     for event in events:
--- a/libs/explain/src/bergamotsail/explain/_report.py
+++ b/libs/explain/src/bergamotsail/explain/_report.py
@@ -21,15 +21,15 @@
 
 def write_report(
     path: pathlib.Path,
-    journeys: collections.abc.Sequence[RequestTrace],
+    request_traces: collections.abc.Sequence[RequestTrace],
     events: collections.abc.Sequence[Event],
 ) -> None:
     """Write the report to a file."""
-    tables = html.escape("\n".join(_summary.summary(journeys, events)))
+    tables = html.escape("\n".join(_summary.summary(request_traces, events)))
     plots = "\n".join(
         f'<h2>{html.escape(title)}</h2><img src="data:image/png;base64,'
         f'{_png(plot)}" alt="{html.escape(title)}">'
-        for title, plot in _plots(journeys)
+        for title, plot in _plots(request_traces)
     )
     path.write_text(
         "<!doctype html><html lang=en><meta charset=utf-8>"
@@ -40,15 +40,15 @@
 
 
 def _plots(
-    journeys: collections.abc.Sequence[RequestTrace],
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[tuple[str, figure.Figure]]:
-    waits = [j.wait_s for j in journeys if j.wait_s is not None]
-    engines = [j.engine_s for j in journeys if j.engine_s is not None]
+    waits = [j.wait_s for j in request_traces if j.wait_s is not None]
+    engines = [j.engine_s for j in request_traces if j.engine_s is not None]
     yield "Wait for placement, seconds", _histogram(waits)
     yield "From send to first answer, seconds", _histogram(engines)
     estimated = [
         j
-        for j in journeys
+        for j in request_traces
         if j.backlog_s is not None and j.engine_s is not None
     ]
     yield "Estimated backlog and time to first answer, seconds", _scatter(
--- a/libs/explain/src/bergamotsail/explain/_summary.py
+++ b/libs/explain/src/bergamotsail/explain/_summary.py
@@ -28,20 +28,20 @@
 
 
 def summary(
-    journeys: collections.abc.Sequence[RequestTrace],
+    request_traces: collections.abc.Sequence[RequestTrace],
     events: collections.abc.Sequence[Event],
 ) -> list[str]:
     """Return the lines of the tables over all requests."""
     return [
-        *_stages(journeys),
+        *_stages(request_traces),
         "",
-        *_outcomes(journeys),
+        *_outcomes(request_traces),
         "",
-        *_backlog_accuracy(journeys),
+        *_backlog_accuracy(request_traces),
         "",
         *_loads(events),
         "",
-        *_engines(journeys),
+        *_engines(request_traces),
         "",
         *_refusals(events),
         "",
@@ -60,11 +60,11 @@
 
 
 def _stages(
-    journeys: collections.abc.Sequence[RequestTrace],
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     yield _header("stage, s")
     by_route: dict[str, list[RequestTrace]] = collections.defaultdict(list)
-    for trace in journeys:
+    for trace in request_traces:
         by_route[trace.route].append(trace)
     for route, own in sorted(by_route.items()):
         waits = [j.wait_s for j in own if j.wait_s is not None]
@@ -79,22 +79,22 @@
 
 
 def _outcomes(
-    journeys: collections.abc.Sequence[RequestTrace],
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     yield "requests by route and outcome"
-    counts = collections.Counter((j.route, j.code) for j in journeys)
+    counts = collections.Counter((j.route, j.code) for j in request_traces)
     for (route, code), count in sorted(counts.items()):
         yield f"{route:20}{code:20}{count:7}"
 
 
 def _backlog_accuracy(
-    journeys: collections.abc.Sequence[RequestTrace],
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     """Compare the estimated backlog with the actual time at the target."""
     yield _header("time by estimated backlog, s")
     estimated = [
         j
-        for j in journeys
+        for j in request_traces
         if j.backlog_s is not None and j.engine_s is not None and j.sends == 1
     ]
     lower_s = 0.0
@@ -141,11 +141,11 @@
 
 
 def _engines(
-    journeys: collections.abc.Sequence[RequestTrace],
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     """Show the distribution of load over the engines."""
     by_target: dict[str, list[RequestTrace]] = collections.defaultdict(list)
-    for trace in journeys:
+    for trace in request_traces:
         if trace.target is not None and trace.adapter is not None:
             by_target[trace.target].append(trace)
     yield _header("time by engine, s")
@@ -167,7 +167,7 @@
     )
 
 
-def one_request(
+def describe_request(
     request: str, events: collections.abc.Sequence[Event]
 ) -> list[str]:
     """Return a line for each event of a request, grouped by daemon.
--- a/libs/wire/src/bergamotsail/wire/_background.py
+++ b/libs/wire/src/bergamotsail/wire/_background.py
@@ -4,7 +4,7 @@
 import collections.abc
 
 
-class Background:
+class BackgroundTasks:
     """The background tasks of one owner, cancelled together.
 
     Example::
--- a/libs/wire/src/bergamotsail/wire/_codec.py
+++ b/libs/wire/src/bergamotsail/wire/_codec.py
@@ -55,7 +55,7 @@
             on_invalid(error)
 
 
-def readable(data: bytes) -> bytes:
+def replace_invalid_utf8(data: bytes) -> bytes:
     """Replace invalid UTF-8, so that only the items with it are skipped."""
     return data.decode("utf-8", "replace").encode()
 
--- a/libs/wire/src/bergamotsail/wire/_steps.py
+++ b/libs/wire/src/bergamotsail/wire/_steps.py
@@ -1,6 +1,6 @@
 """Fault injection points.
 
-Production code uses :class:`NoSteps`, which costs one awaited call at
+Production code uses :class:`NoFaultInjector`, which costs one awaited call at
 each point.
 """
 
@@ -40,7 +40,7 @@
     AFTER = "after"
 
 
-class Steps(abc.ABC):
+class FaultInjector(abc.ABC):
     """Interface that is called at each fault injection point."""
 
     @abc.abstractmethod
@@ -48,7 +48,7 @@
         """Report a step; a test may raise, block or disconnect here."""
 
 
-class NoSteps(Steps):
+class NoFaultInjector(FaultInjector):
     """Implementation for production, which does nothing."""
 
     async def reach(self, step: Step, phase: Phase) -> None:
