--- a/libs/explain/src/bergamotsail/explain/__init__.py
+++ b/libs/explain/src/bergamotsail/explain/__init__.py
@@ -1,10 +1,12 @@
-"""What happened to requests, from the JSON logs of any number of daemons.
+"""Analysis of requests, from the event logs of any number of daemons.
+
+``read_events`` parses the logs, ``request_traces`` returns a trace of each
+request, and ``summary`` formats tables of them.
 
 Example::
 
     events = explain.read_events(paths)
-    journeys = explain.journeys(events)
-    print("\\n".join(explain.summary(journeys, events)))
+    print("\\n".join(explain.describe_request("r1", events)))
 """
 
 from bergamotsail.explain import _events
@@ -15,11 +17,11 @@
 Event = _events.Event
 read_events = _events.read_events
 
-Journey = _journeys.Journey
+RequestTrace = _journeys.RequestTrace
 request_traces = _journeys.request_traces
 
 describe_request = _summary.describe_request
 summary = _summary.summary
 
-# The plots need matplotlib, which daemons do without.
+# The plots need matplotlib, which daemons run without.
 __getattr__ = wire.lazy_names(__name__, {"_report": ("write_report",)})
--- a/libs/explain/src/bergamotsail/explain/_journeys.py
+++ b/libs/explain/src/bergamotsail/explain/_journeys.py
@@ -1,4 +1,4 @@
-"""The stages of each request: wait, way, engine, rest."""
+"""Stages of each request, reconstructed from its events."""
 
 import collections
 import collections.abc
@@ -7,25 +7,25 @@
 from bergamotsail.explain import _events
 
 Event = _events.Event
-GOOD_STATUS = 200
+HTTP_OK_STATUS = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Journey:
-    """What happened to one request of a caller, in seconds.
+class RequestTrace:
+    """Timeline of one request of a caller, in seconds.
 
     Args:
-        arrived_s: on the clock of the daemon that took it.
-        wait_s: until it was first sent to a target; None when never.
-        engine_s: from there to the first answer; None without one.
+        arrived_s: arrival, on the clock of the daemon that accepted it.
+        wait_s: from arrival to the first send to a target; None if not sent.
+        engine_s: from that send to the first answer; None without one.
         first_s: from arrival to the first answer.
-        longest_pause_s: between two pieces of the answer.
-        took_s: from arrival to the end.
-        code: how it ended.
+        longest_pause_s: longest pause between two pieces of the answer.
+        took_s: total time, from arrival to the end.
+        code: code of the outcome.
         loaded: whether its adapter had to be loaded first.
-        backlog_s: what was believed to wait at the engine before it.
-        new_tokens: prompt tokens believed to be read.
-        running: requests that ran there already.
+        backlog_s: estimated wait at the engine before its prompt is read.
+        new_tokens: estimated prompt tokens that were not cached there.
+        running: requests that were already running there.
     """
 
     request: str
@@ -47,38 +47,40 @@
     running: int | None
 
 
-def request_traces(events: collections.abc.Iterable[Event]) -> list[Journey]:
-    """Return one journey for each request that ended."""
+def request_traces(
+    events: collections.abc.Iterable[Event],
+) -> list[RequestTrace]:
+    """Return a trace of each request that ended."""
     by_request: dict[str, list[Event]] = collections.defaultdict(list)
     for event in events:
         if event.request is not None:
             by_request[event.request].append(event)
     return [
-        journey
+        trace
         for own in by_request.values()
-        for end in _all(own, "route", "end")
-        if (journey := _journey(end, own)) is not None
+        for end in _select(own, "route", "end")
+        if (trace := _trace(end, own)) is not None
     ]
 
 
-def _all(events: list[Event], part: str, what: str) -> list[Event]:
+def _select(events: list[Event], part: str, what: str) -> list[Event]:
     return [e for e in events if (e.part, e.what) == (part, what)]
 
 
-def _journey(end: Event, own: list[Event]) -> Journey | None:
-    here = [e for e in own if e.daemon == end.daemon]
+def _trace(end: Event, own: list[Event]) -> RequestTrace | None:
+    local_events = [e for e in own if e.daemon == end.daemon]
     took_s = end.number("took_s")
     arrived_s = end.at_s - took_s
-    sends = _all(here, "route", "send")
+    sends = _select(local_events, "route", "send")
     wait_s = sends[0].at_s - arrived_s if sends else None
-    first_s = _first_s(here)
+    first_s = _first_s(local_events)
     engine_s = None
     if first_s is not None and wait_s is not None:
         engine_s = max(first_s - wait_s, 0.0)
-    grants = _all(own, "place", "grant")
+    grants = _select(own, "place", "grant")
     grant = grants[0] if grants else None
     adapter = end.fields.get("adapter")
-    return Journey(
+    return RequestTrace(
         str(end.request),
         end.daemon,
         str(end.fields.get("route", "-")),
@@ -99,9 +101,9 @@
     )
 
 
-def _first_s(here: list[Event]) -> float | None:
-    """Return when the first good answer came, from arrival."""
-    for answer in _all(here, "route", "answer"):
-        if answer.fields.get("status") == GOOD_STATUS:
+def _first_s(local_events: list[Event]) -> float | None:
+    """Return the time from arrival to the first answer with status 200."""
+    for answer in _select(local_events, "route", "answer"):
+        if answer.fields.get("status") == HTTP_OK_STATUS:
             return answer.number("since_arrival_s")
     return None
--- a/libs/explain/src/bergamotsail/explain/_summary.py
+++ b/libs/explain/src/bergamotsail/explain/_summary.py
@@ -1,4 +1,4 @@
-"""Tables of text: all requests by stage, or one request line by line."""
+"""Text tables: all requests by stage, or one request event by event."""
 
 import collections
 import collections.abc
@@ -8,36 +8,36 @@
 from bergamotsail.explain import _work
 
 Event = _events.Event
-Journey = _journeys.Journey
+RequestTrace = _journeys.RequestTrace
 PERCENTILES = (50, 75, 90, 95, 99)
 BACKLOG_BOUNDS_S = (0.02, 0.1, 0.2, 0.4, 0.8, float("inf"))
-# A fetch from a store takes longer than this, a load from a copy less.
-COPY_LOAD_S = 0.15
-MOST_ROWS = 12
+# Loads from a copy take less time than this, fetches from the store more.
+MAX_COPY_LOAD_S = 0.15
+MAX_ENGINE_ROWS = 12
 
 
-def percentile(values: collections.abc.Sequence[float], part: int) -> float:
-    """Return a percentile; 0 of nothing.
+def percentile(values: collections.abc.Sequence[float], percent: int) -> float:
+    """Return a percentile, or 0 if there are no values.
 
     Example: ``percentile([1.0, 2.0, 3.0], 50)`` gives 2.0.
     """
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, len(ordered) * part // 100)]
+    return ordered[min(len(ordered) - 1, len(ordered) * percent // 100)]
 
 
 def summary(
-    request_traces: collections.abc.Sequence[Journey],
+    request_traces: collections.abc.Sequence[RequestTrace],
     events: collections.abc.Sequence[Event],
 ) -> list[str]:
     """Return the lines of the tables over all requests."""
     return [
         *_stages(request_traces),
         "",
-        *_ends(request_traces),
+        *_outcomes(request_traces),
         "",
-        *_beliefs(request_traces),
+        *_backlog_accuracy(request_traces),
         "",
         *_loads(events),
         "",
@@ -50,64 +50,66 @@
 
 
 def _row(name: str, values: collections.abc.Sequence[float]) -> str:
-    shown = "".join(f"{percentile(values, p):8.3f}" for p in PERCENTILES)
-    return f"{name:32}{len(values):7}{shown}"
+    cells = "".join(f"{percentile(values, p):8.3f}" for p in PERCENTILES)
+    return f"{name:32}{len(values):7}{cells}"
 
 
-def _head(title: str) -> str:
-    shown = "".join(f"{'p' + str(p):>8}" for p in PERCENTILES)
-    return f"{title:32}{'n':>7}{shown}"
+def _header(title: str) -> str:
+    cells = "".join(f"{'p' + str(p):>8}" for p in PERCENTILES)
+    return f"{title:32}{'n':>7}{cells}"
 
 
 def _stages(
-    request_traces: collections.abc.Sequence[Journey],
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
-    yield _head("stage, s")
-    by_route: dict[str, list[Journey]] = collections.defaultdict(list)
-    for journey in request_traces:
-        by_route[journey.route].append(journey)
+    yield _header("stage, s")
+    by_route: dict[str, list[RequestTrace]] = collections.defaultdict(list)
+    for trace in request_traces:
+        by_route[trace.route].append(trace)
     for route, own in sorted(by_route.items()):
         waits = [j.wait_s for j in own if j.wait_s is not None]
         engines = [j.engine_s for j in own if j.engine_s is not None]
         firsts = [j.first_s for j in own if j.first_s is not None]
         pauses = [j.longest_pause_s for j in own if j.longest_pause_s]
-        yield _row(f"{route} wait for a place", waits)
+        yield _row(f"{route} wait for placement", waits)
         yield _row(f"{route} at the target", engines)
         yield _row(f"{route} first answer", firsts)
         yield _row(f"{route} longest pause", pauses)
-        yield _row(f"{route} to the end", [j.took_s for j in own])
+        yield _row(f"{route} total", [j.took_s for j in own])
 
 
-def _ends(
-    request_traces: collections.abc.Sequence[Journey],
+def _outcomes(
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
-    yield "how requests ended"
+    yield "requests by route and outcome"
     counts = collections.Counter((j.route, j.code) for j in request_traces)
     for (route, code), count in sorted(counts.items()):
         yield f"{route:20}{code:20}{count:7}"
 
 
-def _beliefs(
-    request_traces: collections.abc.Sequence[Journey],
+def _backlog_accuracy(
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
-    """Set what was believed of an engine against what came."""
-    yield _head("believed backlog: time there, s")
-    sure = [
+    """Compare the estimated backlog with the actual time at the target."""
+    yield _header("time by estimated backlog, s")
+    estimated = [
         j
         for j in request_traces
         if j.backlog_s is not None and j.engine_s is not None and j.sends == 1
     ]
-    least_s = 0.0
-    for most_s in BACKLOG_BOUNDS_S:
-        came = [j.engine_s for j in sure if least_s <= j.backlog_s < most_s]
-        yield _row(f"{least_s:.2f} to {most_s:.2f}", came)
-        least_s = most_s
+    lower_s = 0.0
+    for upper_s in BACKLOG_BOUNDS_S:
+        times = [
+            j.engine_s for j in estimated if lower_s <= j.backlog_s < upper_s
+        ]
+        yield _row(f"{lower_s:.2f} to {upper_s:.2f}", times)
+        lower_s = upper_s
 
 
 def _loads(
     events: collections.abc.Sequence[Event],
 ) -> collections.abc.Iterator[str]:
-    begun: dict[tuple[str, object, object], Event] = {}
+    started: dict[tuple[str, object, object], Event] = {}
     took: dict[bool, list[float]] = {True: [], False: []}
     fetched: list[str] = []
     for event in events:
@@ -119,19 +121,19 @@
             event.fields.get("adapter"),
         )
         if event.what == "load":
-            begun[key] = event
+            started[key] = event
             if not event.fields.get("copy"):
                 fetched.append(str(key[2]))
-        elif event.what == "loaded" and key in begun:
-            start = begun.pop(key)
+        elif event.what == "loaded" and key in started:
+            start = started.pop(key)
             is_copy = bool(start.fields.get("copy"))
             took[is_copy].append(event.at_s - start.at_s)
-    yield _head("loads, s")
-    yield _row("believed from a copy", took[True])
-    yield _row("believed from the store", took[False])
-    slow = sum(seconds > COPY_LOAD_S for seconds in took[True])
-    fast = sum(seconds <= COPY_LOAD_S for seconds in took[False])
-    yield f"copies that were none: {slow}; copies not known of: {fast}"
+    yield _header("loads, s")
+    yield _row("expected from a copy", took[True])
+    yield _row("expected from the store", took[False])
+    slow = sum(seconds > MAX_COPY_LOAD_S for seconds in took[True])
+    fast = sum(seconds <= MAX_COPY_LOAD_S for seconds in took[False])
+    yield f"expected copies not found: {slow}; unexpected copies: {fast}"
     yield (
         f"fetches from the store: {len(fetched)}, of"
         f" {len(set(fetched))} different adapters"
@@ -139,16 +141,16 @@
 
 
 def _engines(
-    request_traces: collections.abc.Sequence[Journey],
+    request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
-    """Show how unequal the load of engines was."""
-    by_target: dict[str, list[Journey]] = collections.defaultdict(list)
-    for journey in request_traces:
-        if journey.target is not None and journey.adapter is not None:
-            by_target[journey.target].append(journey)
-    yield _head("engine: time there, s")
+    """Show the distribution of load over the engines."""
+    by_target: dict[str, list[RequestTrace]] = collections.defaultdict(list)
+    for trace in request_traces:
+        if trace.target is not None and trace.adapter is not None:
+            by_target[trace.target].append(trace)
+    yield _header("time by engine, s")
     busiest = sorted(by_target.items(), key=lambda item: -len(item[1]))
-    for target, own in busiest[:MOST_ROWS]:
+    for target, own in busiest[:MAX_ENGINE_ROWS]:
         engines = [j.engine_s for j in own if j.engine_s is not None]
         tokens = sum(j.new_tokens or 0 for j in own)
         yield f"{_row(target, engines)}  {tokens} tokens"
@@ -168,9 +170,10 @@
 def describe_request(
     request: str, events: collections.abc.Sequence[Event]
 ) -> list[str]:
-    """Return every line about a request, daemon by daemon.
+    """Return a line for each event of a request, grouped by daemon.
 
-    Clocks of daemons differ, so times count from the first line of each.
+    The clocks of daemons differ, so times are relative to the first event
+    of each daemon.
     """
     own = [event for event in events if event.request == request]
     lines: list[str] = []
@@ -181,12 +184,12 @@
             after_s = event.at_s - here[0].at_s
             lines.append(
                 f"  {after_s:+9.4f} s  {event.part} {event.what}:"
-                f" {_shown(event.fields)}"
+                f" {_format_fields(event.fields)}"
             )
-    return lines or [f"No line speaks of {request}. Give more logs."]
+    return lines or [f"No events of request {request} found. Add more logs."]
 
 
-def _shown(fields: dict[str, object]) -> str:
+def _format_fields(fields: dict[str, object]) -> str:
     hidden = ("t", "wall", "at", "part", "what", "request")
     pairs = (f"{k}={v}" for k, v in fields.items() if k not in hidden)
     return " ".join(pairs)
--- a/libs/observe/src/bergamotsail/observe/_events.py
+++ b/libs/observe/src/bergamotsail/observe/_events.py
@@ -1,8 +1,8 @@
-"""One JSON line for each decision, on standard output, never blocking.
+"""Event log: one JSON line for each event, written without blocking.
 
-Lines wait in a bounded queue for a thread that writes them. When the
-reader of standard output is slow, the newest lines are dropped and counted,
-and the count is the next line.
+A thread writes the lines from a bounded queue to standard output. When the
+reader of standard output is slow, new lines are dropped, and the next line
+that is queued gives their number in its field ``dropped``.
 """
 
 import json
@@ -12,18 +12,18 @@
 import threading
 import time
 
-MAX_QUEUED = 5_000
+MAX_QUEUED_LINES = 5_000
 
 
 class EventLog:
-    """Writes lines from a thread; a context manager."""
+    """Event log with a writer thread; a context manager."""
 
     def __init__(self, origin: str, stream=None) -> None:
         self._origin = origin
         self._stream = stream if stream is not None else sys.stdout
-        self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED)
+        self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._dropped = 0
-        self.dropped_ever = 0
+        self.dropped_total = 0
         self._thread = threading.Thread(target=self._write, daemon=True)
 
     def __enter__(self) -> "EventLog":
@@ -37,7 +37,7 @@
         self._thread.join(timeout=1.0)
 
     def add(self, part: str, what: str, fields: dict[str, object]) -> None:
-        """Queue a line; drop it when the queue is full."""
+        """Queue a line; drop it if the queue is full."""
         line = {
             "t": round(time.monotonic(), 4),
             "at": self._origin,
@@ -52,7 +52,7 @@
             self._dropped = 0
         except queue.Full:
             self._dropped += 1
-            self.dropped_ever += 1
+            self.dropped_total += 1
 
     def _write(self) -> None:
         while (line := self._lines.get()) is not None:
@@ -64,16 +64,18 @@
 
 
 class _Current:
+    """Holds the event log of this process."""
+
     log: EventLog | None = None
 
 
 def set_event_log(log: EventLog | None) -> None:
-    """Write all events of this process there from now on."""
+    """Set the log for all events of this process; None discards them."""
     _Current.log = log
 
 
 def log_event(part: str, what: str, **fields: object) -> None:
-    """Write a decision or a change of belief.
+    """Log a decision or a change of state.
 
     Example: ``log_event("route", "send", request="r1", target="e-2")``
     """
@@ -82,15 +84,15 @@
 
 
 def lines_dropped() -> int:
-    """Return how many lines were dropped since the start."""
-    return 0 if _Current.log is None else _Current.log.dropped_ever
+    """Return the number of lines dropped since the log was created."""
+    return 0 if _Current.log is None else _Current.log.dropped_total
 
 
 class EventHandler(std_logging.Handler):
-    """Turns lines of the logging library into events."""
+    """Writes records of the logging library to the event log."""
 
     def emit(self, record: std_logging.LogRecord) -> None:
-        """Write a record as an event."""
+        """Log a record as an event."""
         part, _, text = record.getMessage().partition(": ")
         fields = {"text": text or part, "level": record.levelname}
         if record.exc_info:
--- a/libs/observe/src/bergamotsail/observe/_metrics.py
+++ b/libs/observe/src/bergamotsail/observe/_metrics.py
@@ -1,7 +1,7 @@
 """Histograms and counters, by name and labels.
 
-Histograms leave a daemon in HdrHistogram's encoded form, so that those of
-many daemons merge without loss.
+Histograms are exported in HdrHistogram's encoded form, so that those of many
+daemons can be merged without loss.
 """
 
 import collections
@@ -10,9 +10,9 @@
 
 from hdrh import histogram
 
-LOWEST = 1
-HIGHEST = 3_600_000_000
-DIGITS = 2
+MIN_US = 1
+MAX_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50, 95, 99, 100)
 
 
@@ -36,7 +36,7 @@
         full = full_name(name, labels)
         if full not in self._histogram_by_name:
             self._histogram_by_name[full] = _new_histogram()
-        microseconds = min(max(int(seconds * 1e6), LOWEST), HIGHEST)
+        microseconds = min(max(int(seconds * 1e6), MIN_US), MAX_US)
         self._histogram_by_name[full].record_value(microseconds)
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
@@ -54,12 +54,12 @@
         }
 
     def reset(self) -> None:
-        """Forget all, as after a warm-up."""
+        """Delete all metrics, for example after a warm-up."""
         self._histogram_by_name.clear()
         self._counter_by_name.clear()
 
     def snapshot(self) -> MetricsSnapshot:
-        """Return all in a form that can be sent and merged."""
+        """Return all metrics in a form that can be sent and merged."""
         return MetricsSnapshot(
             {
                 name: recorded.encode().decode()
@@ -113,7 +113,7 @@
 
 
 def as_text(snapshot: MetricsSnapshot) -> str:
-    """Return one line for each figure: its name, its labels, its value.
+    """Return one line for each value: its name, its labels and the value.
 
     Example: ``request_p99_ms{code=done} 812.5``
     """
@@ -126,4 +126,4 @@
 
 
 def _new_histogram() -> histogram.HdrHistogram:
-    return histogram.HdrHistogram(LOWEST, HIGHEST, DIGITS)
+    return histogram.HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
--- a/libs/observe/src/bergamotsail/observe/_work.py
+++ b/libs/observe/src/bergamotsail/observe/_work.py
@@ -1,7 +1,8 @@
-"""Where a process's time, messages and bytes go, by kind of work.
+"""Time, messages and bytes of a process, by kind of work.
 
-Only the steps that a coroutine runs are counted, not what it waits for.
-The figures are counters of the metrics, so they merge over daemons.
+Only the time in which a coroutine runs is counted, not the time in which it
+waits. The values are counters of the metrics, so they can be merged over
+daemons.
 
 Example::
 
@@ -22,7 +23,7 @@
 MESSAGES = "work_messages"
 RECEIVED = "work_received_bytes"
 SENT = "work_sent_bytes"
-MICRO = 1e6
+US_PER_S = 1e6
 
 Result = typing.TypeVar("Result")
 Metrics = _metrics.Metrics
@@ -30,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkDone:
-    """What one kind of work took.
+    """Totals of one kind of work.
 
     Args:
-        took_s: time of its own steps, in seconds.
-        received: bytes of the messages' bodies.
-        sent: bytes of the bodies that went out.
+        took_s: time in which it ran, in seconds.
+        received: bytes of the bodies that were received.
+        sent: bytes of the bodies that were sent.
     """
 
     took_s: float = 0.0
@@ -52,13 +53,13 @@
     ],
     *args: object,
 ) -> Result:
-    """Call *work* with its arguments and count the time of its steps."""
-    return await _stepped(metrics, kind, work(*args))
+    """Await *work* with its arguments and count the time that it runs."""
+    return await _drive(metrics, kind, work(*args))
 
 
 @types.coroutine
-def _stepped(metrics, kind, work):
-    """Pass on what the work waits for, and time what it does between."""
+def _drive(metrics, kind, work):
+    """Drive the coroutine *work* and count its time between awaits."""
     step, value = work.send, None
     try:
         while True:
@@ -78,41 +79,41 @@
 
 @contextlib.contextmanager
 def spent(metrics: Metrics, kind: str) -> collections.abc.Iterator[None]:
-    """Count the time of a block that waits for nothing."""
+    """Count the time of a block that doesn't await."""
     began = time.perf_counter()
     try:
         yield
     finally:
-        took_us = int((time.perf_counter() - began) * MICRO)
+        took_us = int((time.perf_counter() - began) * US_PER_S)
         metrics.count(TIME, took_us, kind=kind)
 
 
 def count_message(
     metrics: Metrics, kind: str, received: int = 0, sent: int = 0
 ) -> None:
-    """Count a message with the bytes of its body and of its answer."""
+    """Count a message and the bytes received and sent for it."""
     metrics.count(MESSAGES, kind=kind)
     metrics.count(RECEIVED, received, kind=kind)
     metrics.count(SENT, sent, kind=kind)
 
 
 class WorkLog:
-    """Tells what was done since it was last asked."""
+    """Reports the work done since the previous report."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._told: dict[str, int] = {}
+        self._last_counts: dict[str, int] = {}
 
     def since_last(self) -> dict[str, WorkDone]:
-        """Return what was done, by kind, the costliest first."""
+        """Return the work done by kind, in descending order of time."""
         counted = self._metrics.counters((TIME, MESSAGES, RECEIVED, SENT))
-        grown = {
-            key: count - self._told.get(key, 0)
+        increases = {
+            key: count - self._last_counts.get(key, 0)
             for key, count in counted.items()
         }
-        self._told = counted
+        self._last_counts = counted
         by_kind: dict[str, dict[str, int]] = {}
-        for key, count in grown.items():
+        for key, count in increases.items():
             name, _, labels = key.partition("{kind=")
             if count:
                 by_kind.setdefault(labels.rstrip("}"), {})[name] = count
@@ -122,7 +123,7 @@
 
 def _done(counts: dict[str, int]) -> WorkDone:
     return WorkDone(
-        counts.get(TIME, 0) / MICRO,
+        counts.get(TIME, 0) / US_PER_S,
         counts.get(MESSAGES, 0),
         counts.get(RECEIVED, 0),
         counts.get(SENT, 0),
--- a/libs/settings/src/bergamotsail/settings/__init__.py
+++ b/libs/settings/src/bergamotsail/settings/__init__.py
@@ -1,7 +1,7 @@
-"""JSON settings, checked as a whole.
+"""JSON settings with validation.
 
-Every field is typed and has a documented default where one makes sense. An
-unknown key is refused, and all faults are reported at once.
+Every field is typed and has a documented default where one makes sense.
+Unknown keys are rejected, and all faults are reported at once.
 """
 
 from bergamotsail.settings import _check
@@ -14,7 +14,7 @@
 parse = _check.parse
 
 explain = _explain.explain
-FieldNote = _explain.FieldNote
+SettingDescription = _explain.SettingDescription
 
 AdmissionFields = _model.AdmissionFields
 ConsensusFields = _model.ConsensusFields
--- a/libs/settings/src/bergamotsail/settings/_model.py
+++ b/libs/settings/src/bergamotsail/settings/_model.py
@@ -11,30 +11,41 @@
     high: float
 
 
-def _number(default: float, low: float, high: float, note: str) -> typing.Any:
+def _number_field(
+    default: float, low: float, high: float, note: str
+) -> typing.Any:
     metadata = {"range": Range(low, high), "note": note}
     return dataclasses.field(default=default, metadata=metadata)
 
 
-def _note(note: str, **kwargs: typing.Any) -> typing.Any:
+def _described_field(note: str, **kwargs: typing.Any) -> typing.Any:
     return dataclasses.field(metadata={"note": note}, **kwargs)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseFields:
-    """Sessions of daemons with the leader."""
+    """Leases of the daemons' sessions with the leader."""
 
-    lease_s: float = _number(
-        3.0, 0.2, 60, "Seconds a daemon may act after a heartbeat."
+    lease_s: float = _number_field(
+        3.0,
+        0.2,
+        60,
+        "Seconds that a lease is valid after a heartbeat was sent.",
     )
-    heartbeat_s: float = _number(
-        0.5, 0.05, 20, "Seconds between heartbeats; at most a third of it."
+    heartbeat_s: float = _number_field(
+        0.5,
+        0.05,
+        20,
+        "Seconds between heartbeats; at most a third of lease_s.",
     )
-    drift: float = _number(
-        0.05, 0, 0.5, "Largest relative difference between two clocks."
+    drift: float = _number_field(
+        0.05, 0, 0.5, "Largest relative drift between two clocks."
     )
-    order_flight_s: float = _number(
-        0.5, 0, 60, "Seconds an order may be on its way to a target."
+    order_flight_s: float = _number_field(
+        0.5,
+        0,
+        60,
+        "Longest time, in seconds, that an order is in transit to a target.",
     )
 
 
@@ -42,63 +53,77 @@
 class ConsensusFields:
     """The replicated log."""
 
-    election_s: float = _number(
-        1.0, 0.1, 30, "Seconds of silence before an election."
+    election_s: float = _number_field(
+        1.0,
+        0.1,
+        30,
+        "Election timeout: seconds without contact to the leader.",
     )
-    heartbeat_s: float = _number(
+    heartbeat_s: float = _number_field(
         0.2, 0.02, 10, "Seconds between the leader's heartbeats."
     )
-    call_s: float = _number(
-        1.0, 0.1, 30, "Seconds before a call between replicas is given up."
+    call_s: float = _number_field(
+        1.0, 0.1, 30, "Timeout of a call between replicas, in seconds."
     )
-    snapshot_entries: int = _number(
+    snapshot_entries: int = _number_field(
         4000, 10, 1_000_000, "Log entries between snapshots."
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementFields:
-    """What owners load and evict."""
+    """Loads and evictions of adapters."""
 
-    policy: str = _note("value or least_recent.", default="value")
-    stall_weight: float = _number(
-        0.5, 0, 1, "0 favours full batches, 1 short load stalls."
+    policy: str = _described_field(
+        "Eviction policy: value or least_recent.", default="value"
     )
-    max_queue: int = _number(
-        256, 1, 100_000, "Waiting requests for each engine."
+    stall_weight: float = _number_field(
+        0.5, 0, 1, "0 favours full batches, 1 favours short load stalls."
     )
-    report_interval_s: float = _number(
-        0.25, 0.01, 10, "Seconds between readings of an engine's report."
+    max_queue: int = _number_field(
+        256, 1, 100_000, "Maximum number of waiting requests for each engine."
     )
-    min_residence_s: float = _number(
-        1.0, 0, 600, "Seconds that an adapter stays at least."
+    report_interval_s: float = _number_field(
+        0.25, 0.01, 10, "Seconds between polls of an engine's report."
     )
-    half_life_s: float = _number(
-        60.0, 1, 86_400, "Seconds after which a use counts half."
+    min_residence_s: float = _number_field(
+        1.0, 0, 600, "Minimum time, in seconds, that an adapter stays loaded."
     )
-    drain_after_s: float = _number(
-        2.0, 0, 600, "Seconds of wait after which a busy adapter makes room."
+    half_life_s: float = _number_field(
+        60.0, 1, 86_400, "Half-life of use counts, in seconds."
     )
-    orphan_grace_s: float = _number(
-        5.0, 0, 600, "Seconds that a run outlives the loss of its reader."
+    drain_after_s: float = _number_field(
+        2.0, 0, 600, "Wait, in seconds, after which a busy adapter is drained."
     )
-    load_retries: int = _number(
-        2, 1, 100, "Failed loads after which waiting requests fail."
+    orphan_grace_s: float = _number_field(
+        5.0, 0, 600, "Seconds that a run continues after its reader was lost."
+    )
+    load_retries: int = _number_field(
+        2, 1, 100, "Number of failed loads after which waiting requests fail."
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionFields:
-    """What one daemon admits."""
+    """Admission control of one daemon."""
 
-    max_waiting: int = _number(
-        200, 1, 100_000, "Requests of a member that wait for a share."
+    max_waiting: int = _number_field(
+        200,
+        1,
+        100_000,
+        "Maximum number of a member's requests that wait for a share.",
     )
-    max_active: int = _number(
-        2000, 1, 100_000, "Requests of all members in this daemon."
+    max_active: int = _number_field(
+        2000,
+        1,
+        100_000,
+        "Maximum number of requests of all members in this daemon.",
     )
-    max_wait_s: float = _number(
-        10.0, 0, 600, "Seconds that a request waits for a share at most."
+    max_wait_s: float = _number_field(
+        10.0,
+        0,
+        600,
+        "Longest time, in seconds, that a request waits for a share.",
     )
 
 
@@ -106,32 +131,38 @@
 class HttpFields:
     """The HTTP server."""
 
-    max_body_bytes: int = _number(
+    max_body_bytes: int = _number_field(
         4 * 1024 * 1024, 1024, 1 << 30, "Largest body of a request."
     )
-    idle_s: float = _number(
+    idle_s: float = _number_field(
         120.0, 1, 3600, "Seconds after which an idle connection is closed."
     )
-    body_s: float = _number(
+    body_s: float = _number_field(
         30.0, 1, 3600, "Seconds in which a request's body must arrive."
     )
-    write_s: float = _number(
-        30.0, 1, 3600, "Seconds that a caller may take to read on."
+    write_s: float = _number_field(
+        30.0,
+        1,
+        3600,
+        "Timeout, in seconds, of a write to a caller that reads slowly.",
     )
-    default_deadline_s: float = _number(
-        30.0, 0.1, 3600, "Deadline of a request that names none."
+    default_deadline_s: float = _number_field(
+        30.0, 0.1, 3600, "Deadline, in seconds, of a request that sets none."
     )
-    max_deadline_s: float = _number(
-        600.0, 1, 86_400, "Latest deadline that a request may name."
+    max_deadline_s: float = _number_field(
+        600.0,
+        1,
+        86_400,
+        "Longest deadline, in seconds, that a request may set.",
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopFields:
-    """A planned stop."""
+    """Graceful shutdown."""
 
-    finish_s: float = _number(
-        120.0, 0, 3600, "Seconds that running requests get to finish."
+    finish_s: float = _number_field(
+        120.0, 0, 3600, "Seconds that running requests have to finish."
     )
 
 
@@ -139,42 +170,54 @@
 class DaemonSettings:
     """Settings of one ``bergamotsaild``."""
 
-    name: str = _note("Unique and lasting name of this instance.")
-    address: str = _note("IP number and port to listen on and be found at.")
-    datacentre: str = _note("Data centre of this instance.")
-    replicas: tuple[str, ...] = _note("Addresses of all replicas.")
-    instance_list: str = _note("URL of the platform's instance list.")
-    peer_token: str = _note("Secret shared by all daemons.")
-    operator_tokens: dict[str, str] = _note(
+    name: str = _described_field("Unique, stable name of this instance.")
+    address: str = _described_field(
+        "IP address and port to listen on and to be reached at."
+    )
+    datacentre: str = _described_field("Data centre of this instance.")
+    replicas: tuple[str, ...] = _described_field("Addresses of all replicas.")
+    instance_list: str = _described_field(
+        "URL of the platform's instance list."
+    )
+    peer_token: str = _described_field("Secret shared by all daemons.")
+    operator_tokens: dict[str, str] = _described_field(
         "SHA-256 in hex of each operator's token, by operator."
     )
-    data_folder: str | None = _note(
-        "Folder on a disk; makes this instance a replica.", default=None
+    data_folder: str | None = _described_field(
+        "Folder on a disk; for a replica only, and required there.",
+        default=None,
     )
-    answer_keep_s: float = _number(
-        5.0, 0.1, 3600, "Seconds that callers may keep a look-up's answer."
+    answer_keep_s: float = _number_field(
+        5.0,
+        0.1,
+        3600,
+        "Seconds that callers may cache the answer of a look-up.",
     )
-    list_interval_s: float = _number(
-        1.0, 0.05, 60, "Seconds between readings of the instance list."
+    list_interval_s: float = _number_field(
+        1.0, 0.05, 60, "Seconds between polls of the instance list."
     )
-    claim_retention_s: float = _number(
-        86_400.0, 10, 31_536_000, "Seconds that idempotency keys are kept."
+    claim_retention_s: float = _number_field(
+        86_400.0, 10, 31_536_000, "Retention of idempotency keys, in seconds."
     )
-    routing: str = _note(
-        "residency, or the baselines hash and least_loaded.",
+    routing: str = _described_field(
+        "Routing policy: residency, or the baselines hash and least_loaded.",
         default="residency",
     )
-    lease: LeaseFields = _note(
-        "Sessions with the leader.", default=LeaseFields()
+    lease: LeaseFields = _described_field(
+        "Leases of sessions with the leader.", default=LeaseFields()
     )
-    consensus: ConsensusFields = _note(
+    consensus: ConsensusFields = _described_field(
         "The replicated log.", default=ConsensusFields()
     )
-    placement: PlacementFields = _note(
-        "Loads and evictions.", default=PlacementFields()
+    placement: PlacementFields = _described_field(
+        "Loads and evictions of adapters.", default=PlacementFields()
+    )
+    admission: AdmissionFields = _described_field(
+        "Admission control of this instance.", default=AdmissionFields()
+    )
+    http: HttpFields = _described_field(
+        "The HTTP server.", default=HttpFields()
     )
-    admission: AdmissionFields = _note(
-        "What this instance admits.", default=AdmissionFields()
+    stop: StopFields = _described_field(
+        "Graceful shutdown.", default=StopFields()
     )
-    http: HttpFields = _note("The HTTP server.", default=HttpFields())
-    stop: StopFields = _note("A planned stop.", default=StopFields())
--- a/libs/wire/src/bergamotsail/wire/_background.py
+++ b/libs/wire/src/bergamotsail/wire/_background.py
@@ -1,11 +1,11 @@
-"""Tasks that run for as long as their owner does."""
+"""Background tasks that live as long as their owner."""
 
 import asyncio
 import collections.abc
 
 
 class BackgroundTasks:
-    """The tasks of one owner, ended together.
+    """The background tasks of one owner, cancelled together.
 
     Example::
 
@@ -19,15 +19,17 @@
 
     def start(
         self,
-        *works: collections.abc.Callable[
+        *functions: collections.abc.Callable[
             [], collections.abc.Coroutine[None, None, None]
         ],
     ) -> None:
-        """Run each work in a task of its own."""
-        self._tasks += [asyncio.create_task(work()) for work in works]
+        """Run each coroutine function in its own task."""
+        self._tasks += [
+            asyncio.create_task(function()) for function in functions
+        ]
 
     async def stop(self) -> None:
-        """End the tasks, and wait until they have ended."""
+        """Cancel the tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/libs/wire/src/bergamotsail/wire/_http.py
+++ b/libs/wire/src/bergamotsail/wire/_http.py
@@ -1,13 +1,13 @@
-"""HTTP by tornado's curl client, with two things added.
+"""HTTP client on tornado's curl client, with two additions.
 
-The *gate* runs at the last moment before a request is written, on a
-connection that stands. If it says no, nothing was sent; that is how a
-daemon that froze after its lease check still sends nothing. And a failed
-request says whether anything was sent at all.
+The *gate* is a check that runs on the established connection, right before a
+request is written. If it returns False, nothing is sent, so a daemon that
+froze after its lease check doesn't send with an expired lease. And the error
+of a failed request says whether anything was sent.
 
-libcurl sends a request again on a new connection when a kept one turns out
-to be dead. That is wrong for a call that may not be repeated, so
-``once=True`` takes a new connection and refuses a second sending.
+libcurl repeats a request on a new connection when a reused one turns out to
+be dead. That is wrong for a call that is not idempotent, so ``once=True``
+opens a new connection and prevents a second write.
 """
 
 import asyncio
@@ -33,9 +33,10 @@
     """One HTTP request.
 
     Args:
-        url: where to, by IP number.
-        timeout_s: seconds for the whole exchange; 0 means none.
-        gate: asked right before the request is written.
+        url: URL with an IP address as its host.
+        timeout_s: seconds for the whole exchange; 0 means no limit.
+        gate: called right before the request is written; False prevents
+            that.
         once: never write the request twice.
     """
 
@@ -51,20 +52,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpReply:
-    """A whole HTTP reply."""
+    """A complete HTTP reply."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-class _Sending:
-    """Tracks, for one request, whether anything was written."""
+class _SendState:
+    """Tracks whether a request was written or aborted."""
 
     def __init__(self, request: HttpRequest) -> None:
         self._request = request
         self.sent = False
-        self.abandoned = False
+        self.aborted = False
 
     def prepare(self, handle: pycurl.Curl) -> None:
         handle.setopt(pycurl.PREREQFUNCTION, self._before_write)
@@ -78,17 +79,17 @@
         if self._request.once and self.sent:
             return pycurl.PREREQFUNC_ABORT
         gate = self._request.gate
-        if self.abandoned or (gate is not None and not gate()):
+        if self.aborted or (gate is not None and not gate()):
             return pycurl.PREREQFUNC_ABORT
         self.sent = True
         return pycurl.PREREQFUNC_OK
 
     def _on_progress(self, *_: int) -> int:
-        return 1 if self.abandoned else 0
+        return 1 if self.aborted else 0
 
 
 class HttpClient:
-    """A context manager around one curl client."""
+    """HTTP client; a context manager that closes its connections."""
 
     def __init__(self) -> None:
         self._curl = curl_httpclient.CurlAsyncHTTPClient(
@@ -106,22 +107,22 @@
         self._curl.close()
 
     async def fetch(self, request: HttpRequest) -> HttpReply:
-        """Send a request and return the whole reply, of any status.
+        """Send a request and return the complete reply, of any status.
 
         Raises:
             NotSentError: nothing was written.
             PeerLostError: the reply was lost after writing.
         """
-        sending = _Sending(request)
+        send_state = _SendState(request)
         try:
             reply = await self._curl.fetch(
-                self._tornado_request(request, sending), raise_error=False
+                self._tornado_request(request, send_state), raise_error=False
             )
         except asyncio.CancelledError:
-            sending.abandoned = True
+            send_state.aborted = True
             raise
         except httpclient.HTTPError as error:
-            raise _lost(error, sending, request) from error
+            raise _transport_error(error, send_state, request) from error
         return HttpReply(
             reply.code, dict(reply.headers.get_all()), reply.body or b""
         )
@@ -131,14 +132,14 @@
     ) -> collections.abc.AsyncIterator[bytes]:
         """Send a request and yield the lines of the reply's body.
 
-        Lines come without their end; empty lines are left out. A reply
-        with a status of 400 or more raises the typed error in its body.
+        Lines are yielded without surrounding whitespace; blank lines are
+        skipped. The status of the reply is not checked.
 
         Raises:
             NotSentError: nothing was written.
-            PeerLostError: the reply broke off.
+            PeerLostError: the reply was incomplete.
         """
-        sending = _Sending(request)
+        send_state = _SendState(request)
         chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
         buffered = 0
 
@@ -146,13 +147,13 @@
             nonlocal buffered
             buffered += len(chunk)
             if buffered > MAX_BUFFERED_BYTES:
-                sending.abandoned = True
+                send_state.aborted = True
             chunks.put_nowait(chunk)
 
         async def fetch() -> httpclient.HTTPResponse:
             try:
                 return await self._curl.fetch(
-                    self._tornado_request(request, sending, on_chunk),
+                    self._tornado_request(request, send_state, on_chunk),
                     raise_error=False,
                 )
             finally:
@@ -170,17 +171,17 @@
             try:
                 await fetching
             except httpclient.HTTPError as error:
-                raise _lost(error, sending, request) from error
+                raise _transport_error(error, send_state, request) from error
             if rest.strip():
                 yield rest.strip()
         finally:
-            sending.abandoned = True
+            send_state.aborted = True
             fetching.cancel()
 
     def _tornado_request(
         self,
         request: HttpRequest,
-        sending: _Sending,
+        send_state: _SendState,
         on_chunk: collections.abc.Callable[[bytes], None] | None = None,
     ) -> httpclient.HTTPRequest:
         return httpclient.HTTPRequest(
@@ -193,20 +194,20 @@
             follow_redirects=False,
             allow_nonstandard_methods=True,
             decompress_response=False,
-            prepare_curl_callback=sending.prepare,
+            prepare_curl_callback=send_state.prepare,
             streaming_callback=on_chunk,
         )
 
 
-def _lost(
-    error: httpclient.HTTPError, sending: _Sending, request: HttpRequest
+def _transport_error(
+    error: httpclient.HTTPError, send_state: _SendState, request: HttpRequest
 ) -> _errors.ServingError:
-    """Return the typed error: nothing was sent, or the reply was lost."""
+    """Return the typed error; its type says whether anything was sent."""
     text = f"{request.method} {request.url}: {error}"
-    if sending.sent:
+    if send_state.sent:
         return _errors.PeerLostError(
-            f"The reply was lost ({text}). Ask again if the work may be "
-            "repeated."
+            f"No complete reply was received ({text}). Retry only if the "
+            "work may be repeated."
         )
     return _errors.NotSentError(
         f"Nothing was sent ({text}). Try another address.", retry_after_s=1.0
