--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -1,4 +1,4 @@
-"""Scenarios of routes, the log that forms itself, and retry budgets."""
+"""Tests of route tables, the bootstrap of the log, and retry budgets."""
 
 import asyncio
 import collections.abc
@@ -35,7 +35,7 @@
 
 
 def route(name: str = "r1", **changes) -> catalogue.Route:
-    """Return a sound route with some fields changed."""
+    """Return a valid route with some fields changed."""
     fields = {
         "host": "shop.example",
         "prefix": f"/{name}/",
@@ -47,7 +47,7 @@
 
 
 def table(*routes: catalogue.Route, version: int = 1) -> catalogue.RouteTable:
-    """Return a table of routes."""
+    """Return a route table."""
     return catalogue.RouteTable(version, routes, POOLS)
 
 
@@ -66,7 +66,7 @@
 
 
 def refused(name: str) -> bool:
-    """Whether a table is refused with a typed error that says what to do."""
+    """Whether check_table() raises a BadRequestError with a message."""
     try:
         catalogue.check_table(BAD_TABLES[name])
     except wire.BadRequestError as error:
@@ -75,7 +75,7 @@
 
 
 def longest_prefix() -> list[str]:
-    """The longest prefix counts, hosts apart, ports and case aside."""
+    """The longest prefix of a host wins; its port and case don't matter."""
     index = catalogue.RouteIndex(
         table(
             route("a", prefix="/a/"),
@@ -99,7 +99,7 @@
 
 
 def split_by_weight() -> list[str]:
-    """A split follows its weights, and weight 0 gets nothing."""
+    """Requests are split by weight, and weight 0 gets none."""
     splits = (
         catalogue.Split("llm", 0),
         catalogue.Split("app", 9),
@@ -124,14 +124,14 @@
 )
 
 
-# Two sizes of table, the larger one of some 12,000 characters.
+# Tables hold the first 0, 30 or 60 of these; 60 are about 12,000 characters.
 MANY = tuple(route(f"many-{number}") for number in range(60))
 
 
 def _followed(
     machine: catalogue.CatalogueMachine, follower: catalogue.View
 ) -> catalogue.View:
-    """Return the view of a daemon after it has caught up."""
+    """Return the view of a daemon after it has caught up with a machine."""
     effects = machine.effects_after(follower.index)
     if effects is None:
         follower, effects = catalogue.View(), machine.view.effects()
@@ -142,9 +142,10 @@
 
 
 def versions_agree(history: list[tuple[str, int, int]]) -> None:
-    """The highest version wins, over snapshots too, as a plain model says.
+    """Compare a history of commands and snapshots with a simple model.
 
-    A daemon that follows by effects, now and then, sees the same.
+    The highest version wins. A daemon that applies the effects now and then
+    must see the same state.
     """
     machine = catalogue.CatalogueMachine()
     follower = catalogue.View()
@@ -201,7 +202,7 @@
 
 
 def holders_outlive_snapshots() -> list[str]:
-    """Who gave orders is known after a snapshot was taken and restored."""
+    """The instances that gave orders are restored from a snapshot."""
     machine = catalogue.CatalogueMachine()
     takes = (("r1", False), ("r2", False), ("r1", False))
     for index, (holder, alone) in enumerate(takes, 1):
@@ -220,7 +221,11 @@
 
 
 async def former_daemons_count() -> list[str]:
-    """Daemons are known over two leaders in a row, each from little."""
+    """A session keeps the daemons that former leaders knew for a lease.
+
+    A new leader knows only the daemons that have contacted it. Here two are
+    elected in a row, and the session must still count all 30 daemons.
+    """
 
     def info(number: int) -> control.DaemonInfo:
         name = f"e{number}"
@@ -246,7 +251,7 @@
 
 
 class Replicas:
-    """Nodes of a log, each with its disk, on a network in memory."""
+    """Raft nodes, each with its own disk, on a network in memory."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.rng = random.Random(seed)
@@ -261,7 +266,7 @@
         self.machine_by_address: dict[str, catalogue.CatalogueMachine] = {}
 
     async def start(self, address: str, forms: bool = False) -> quorum.Node:
-        """Start a replica that knows the first three as seeds."""
+        """Start a replica with the first three addresses as seeds."""
         server = wire.PeerServer()
         self.network.join(address, server)
         transport = standins.MemoryTransport(self.network, address)
@@ -286,7 +291,7 @@
         return node
 
     async def form(self) -> quorum.Node:
-        """Start the first three, and wait until one leads."""
+        """Start the first three replicas and wait for a leader."""
         for address in self.addresses[:3]:
             await self.start(address, True)
         return await self.leader()
@@ -297,24 +302,24 @@
         await self.node_by_address.pop(address).__aexit__()
 
     async def stop_all(self) -> None:
-        """Kill all replicas that run."""
+        """Kill all running replicas."""
         for address in list(self.node_by_address):
             await self.stop(address)
 
     async def lose_power(self, address: str) -> None:
-        """Kill a replica, and with it what it had not synced."""
+        """Kill a replica; what it had not synced to its disk is lost."""
         await self.stop(address)
         self.disk_by_address[address].crash()
         self.disk_by_address[address].start_again()
 
     async def leader(self) -> quorum.Node:
-        """Wait for a leader."""
+        """Wait up to 20 s for a leader that holds the lease."""
         for _ in range(400):
             for node in self.node_by_address.values():
                 if node.holds_lease():
                     return node
             await asyncio.sleep(0.05)
-        raise AssertionError("There is no leader.")
+        raise AssertionError("no leader within 20 s")
 
 
 async def _formed(count: int = 3, seed: int = 1) -> Replicas:
@@ -329,7 +334,7 @@
 
 
 async def forms_by_itself() -> list[str]:
-    """Three blank replicas that know the seeds form one log."""
+    """Three replicas with empty disks and the same seeds form one log."""
     replicas = await _formed()
     voters = {len(n.config.voters) for n in replicas.node_by_address.values()}
     leader = await replicas.leader()
@@ -338,19 +343,19 @@
 
 
 async def _voters_are_there(replicas: Replicas) -> list[str]:
-    """Check that the log takes a change, and names who is there."""
+    """Commit a change, then check that the voters are the running nodes."""
     leader = await replicas.leader()
     await leader.propose(_change(1))
     voters = {member.id for member in leader.config.voters}
     there = {node.member.id for node in replicas.node_by_address.values()}
-    return [] if voters == there else [f"voters {voters}, there {there}"]
+    return [] if voters == there else [f"voters {voters}, running {there}"]
 
 
 async def forms_with_slow_starters() -> list[str]:
-    """Replicas that answer before they know their own id form nothing yet.
+    """No log is formed with a replica that has not read its own id yet.
 
-    The first configuration would else name one that never was, and which
-    therefore never votes.
+    Otherwise, the first configuration would name a member that does not
+    exist and never votes.
     """
     replicas = Replicas(3)
     starts = []
@@ -362,7 +367,7 @@
 
 
 async def forms_by_order_while_loading() -> list[str]:
-    """An order to form the log waits for seeds that read their disks."""
+    """A call to form the log waits until all seeds have read their disks."""
     replicas = Replicas(3)
     starts = []
     for address, read_s in zip(replicas.addresses, (0.0, 0.2, 0.4)):
@@ -375,7 +380,10 @@
 
 
 async def called_while_loading() -> list[str]:
-    """A replica that still reads its disk takes and promises nothing."""
+    """A replica that is still reading its disk stores and confirms nothing.
+
+    An entry written too early would leave the log on disk out of order.
+    """
     replicas = Replicas(3)
     leader = await replicas.form()
     for version in range(1, 9):
@@ -394,15 +402,19 @@
     await asyncio.sleep(2.0)
     faults = []
     if node.last_index != leader.last_index:
-        faults.append(f"last index {node.last_index}, {leader.last_index}")
+        faults.append(f"last index {node.last_index}, not {leader.last_index}")
     kept = [e.index for e in (await quorum.Storage(disk).load()).entries]
     if kept != list(range(1, leader.last_index + 1)):
-        faults.append(f"on disk {kept}")
+        faults.append(f"entries on disk {kept}")
     return faults
 
 
 async def votes_while_loading() -> list[str]:
-    """A replica that still reads its disk elects nobody who is behind it."""
+    """A replica that is still reading its disk grants no vote.
+
+    It could elect a candidate whose log is behind its own, which would lose
+    an acknowledged change.
+    """
     replicas = Replicas(3)
     leader = await replicas.form()
     await leader.propose(_change(1))
@@ -426,7 +438,10 @@
 
 
 async def caller_gone_in_append() -> list[str]:
-    """A leader that goes away while a follower writes leaves it in step."""
+    """A follower completes a write although the leader cancels its call.
+
+    A write that ends half-way would leave the log on disk out of order.
+    """
     faults = []
     for seed in range(30):
         replicas = Replicas(3, seed)
@@ -436,7 +451,7 @@
         for number in range(1, 6):
             change = asyncio.create_task(leader.propose(_change(number)))
             await asyncio.sleep(replicas.rng.uniform(0.0, 0.005))
-            # Ends its calls at any step, as a lost lead does.
+            # Cancels its calls at a random point, as a lost leadership does.
             leader._become_follower(None)
             await asyncio.gather(change, return_exceptions=True)
             leader = await replicas.leader()
@@ -452,7 +467,7 @@
 
 
 async def log_out_of_step() -> list[str]:
-    """A log whose entries do not follow each other is not started on."""
+    """A log with a gap or a repeat in its indexes is not loaded."""
     storage = quorum.Storage(standins.MemoryDisk(random.Random(1)))
     await storage.load()
     entries = [
@@ -464,21 +479,24 @@
         await storage.load()
     except quorum.CorruptLogError:
         return []
-    return ["It started on entries 1, 2, 1, 2."]
+    return ["A log with entries 1, 2, 1, 2 was loaded."]
 
 
 async def never_forms_twice() -> list[str]:
-    """Blank replicas that are told it is not the first start form nothing."""
+    """Replicas with empty disks form no log when started with forms=False.
+
+    The flag says that this is not the first start of the deployment.
+    """
     replicas = Replicas(3)
     for address in replicas.addresses:
         await replicas.start(address)
     await asyncio.sleep(10)
     formed = [n for n in replicas.node_by_address.values() if n.config.voters]
-    return [f"{len(formed)} formed"] if formed else []
+    return [f"{len(formed)} replicas formed a log"] if formed else []
 
 
 async def successor_takes_a_place() -> list[str]:
-    """A replica under a new name takes the place of one that is gone."""
+    """A replica with a new name replaces a voter that is gone."""
     replicas = await _formed(4)
     leader = await replicas.leader()
     await leader.propose(_change(1))
@@ -495,16 +513,16 @@
     await leader.propose(_change(2))
     await asyncio.sleep(1)
     names = {member.name for member in leader.config.voters}
-    faults = ["It voted before a place was free."] if early else []
+    faults = ["The successor was a voter too early."] if early else []
     if names != (set(replicas.addresses) - {gone}):
         faults.append(f"voters {names}")
     if replicas.machine_by_address[new].routes_document != "2":
-        faults.append("The successor lacks the newest.")
+        faults.append("The successor lacks the newest change.")
     return faults
 
 
 async def reads_are_the_newest() -> list[str]:
-    """A leader that was cut off can't confirm that it leads."""
+    """A leader that is cut off can't confirm its leadership for a read."""
     replicas = await _formed()
     leader = await replicas.leader()
     await leader.confirm_lead(1.0)
@@ -513,11 +531,11 @@
         await leader.confirm_lead(1.0)
     except wire.NotLeaderError:
         return []
-    return ["A leader without a majority answered a read."]
+    return ["A leader without a majority confirmed its leadership."]
 
 
 def budgets_keep() -> list[str]:
-    """However requests fall on daemons, repeats keep to the whole."""
+    """Resends stay within one budget, however requests are distributed."""
     faults = []
     for seed in range(30):
         faults += ledger.run(_budget_history(random.Random(seed)))
@@ -546,19 +564,20 @@
         used = sum(at >= since for at in repeats)
         asked = sum(at >= since for at in requests)
         if used > 0.2 * asked + 52:
-            faults.append(f"{used} repeats for {asked} requests")
+            faults.append(f"{used} resends for {asked} requests")
     return faults
 
 
-# How many contested elections are tried, how long a leader may take, and
-# how long the first is watched: far less than an election's timeout.
+# Number of contested elections, the time within which a leader must emerge,
+# and how long the first leader is watched: far less than an election
+# time-out.
 ELECTIONS = 100
 NO_LEADER_S = 3.0
 WATCH_S = 0.25
 
 
 class EmptyList(targets.InstanceList):
-    """A list without targets."""
+    """An instance list without targets."""
 
     async def read(self) -> tuple[targets.Instance, ...]:
         return ()
@@ -567,7 +586,7 @@
 def _entry(
     replicas: Replicas, number: int, lease: control.LeaseTiming
 ) -> control.Session:
-    """Return the session of an entry that passes its neighbours' calls on."""
+    """Return the session of an entry that relays calls of its neighbours."""
     address = f"10.0.1.{number}:7000"
     server = wire.PeerServer()
     replicas.network.join(address, server)
@@ -589,7 +608,7 @@
     stack: contextlib.AsyncExitStack,
     instances: targets.InstanceList = EmptyList(),
 ) -> None:
-    """Let all replicas answer daemons."""
+    """Run a coordinator on each replica."""
     for address in replicas.addresses:
         coordinator = control.Coordinator(
             address,
@@ -604,7 +623,7 @@
 
 
 async def cut_off_entry() -> list[str]:
-    """An entry that is cut off from all replicas goes by a neighbour."""
+    """An entry that reaches no replica is relayed by a neighbour."""
     replicas = await _formed()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
     async with contextlib.AsyncExitStack() as stack:
@@ -622,20 +641,20 @@
         await leader.propose(_change(7))
         await asyncio.sleep(2.5)
         if not (cut.fresh() and cut.goes_through_neighbour):
-            faults.append("The entry that is cut off found no way.")
+            faults.append("The entry that is cut off is not relayed.")
         if cut.view.routes.table.version != 7:
-            faults.append("It does not hear of changes.")
+            faults.append("The entry that is cut off receives no changes.")
         replicas.network.heal()
         await asyncio.sleep(4.0)
         if not cut.fresh() or cut.goes_through_neighbour:
-            faults.append("It does not go directly again.")
+            faults.append("The entry does not call replicas directly again.")
     return faults
 
 
 def _grown_table(
     version: int, count: int, rng: random.Random
 ) -> catalogue.RouteTable:
-    """Return a table of many routes with names that share nothing."""
+    """Return a table of many routes with random names that don't compress."""
     names = [f"{rng.getrandbits(48):012x}" for _ in range(count)]
     return table(
         *(route(n, host=f"{n}.example", timeout_s=9.5) for n in names),
@@ -654,7 +673,7 @@
 async def _watch_leases(
     sessions: list[control.Session], faults: list[str], for_s: float
 ) -> None:
-    """Note who is without a lease at some moment."""
+    """Append a fault when a session is without a lease at any moment."""
     for _ in range(int(for_s / 0.05)):
         await asyncio.sleep(0.05)
         lost = [s.daemon.id for s in sessions if not s.fresh()]
@@ -666,10 +685,11 @@
 async def _changes_of_a_table(
     routes: int, changes: int, gap_s: float, link_bytes_per_s: float
 ) -> tuple[list[str], list[int]]:
-    """Change a table often; return faults and bytes by entry.
+    """Change a table often; return faults and received bytes by entry.
 
-    Each change adds a route at the end. Entries have slow links, and must
-    hold their leases and have the newest table a lease after the last.
+    Each change appends a route. Entries have slow links; they must hold
+    their leases throughout, and have the newest table one lease after the
+    last change.
     """
     replicas = await _formed()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
@@ -707,8 +727,8 @@
 async def many_routes_over_small_links() -> list[str]:
     """Changes of a table of 1,500 routes reach entries behind 5 Mbit/s.
 
-    Forty of them within a second need less than the plain text of one, which
-    is 376 kB.
+    Forty changes within a second take fewer bytes than the plain text of one
+    table, which is 376 kB.
     """
     faults, received = await _changes_of_a_table(1_500, 40, 0.025, 625_000)
     if max(received) > 376_000:
@@ -717,26 +737,26 @@
 
 
 async def huge_table_over_small_links() -> list[str]:
-    """A table that takes longer than an answer may comes beside heartbeats.
+    """A table that doesn't fit a heartbeat reply is fetched separately.
 
-    Of 12,000 routes with names that share nothing 0.3 MB travel; at
-    2.4 Mbit/s they take 1 s, an answer has 0.6 s, a lease 2 s.
+    12,000 routes with random names are 0.3 MB on the wire, which takes 1 s
+    at 2.4 Mbit/s; a call times out after 0.6 s, and a lease lasts 2 s.
     """
     faults, _ = await _changes_of_a_table(12_000, 3, 2.0, 300_000)
     return faults
 
 
 async def huge_tables_in_a_row() -> list[str]:
-    """Leases hold while each answer is behind, as changes do not end.
+    """Leases hold while each heartbeat reply asks for another fetch.
 
-    A fetch takes 0.6 s, and a change comes each 0.2 s.
+    A fetch takes 0.6 s, and the table changes every 0.2 s.
     """
     faults, _ = await _changes_of_a_table(12_000, 14, 0.2, 450_000)
     return faults
 
 
 async def lost_fetch_is_repeated() -> list[str]:
-    """A fetch that went silent is given up and begun again, soon."""
+    """A fetch that stalls is abandoned and repeated within 4 s."""
     replicas = await _formed()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
     async with contextlib.AsyncExitStack() as stack:
@@ -747,7 +767,7 @@
         await asyncio.sleep(3.0)
         await _replace_table(replicas, _grown_table(1, 12_000, replicas.rng))
         await asyncio.sleep(0.6)
-        # What is on its way now is lost; the connection does not end.
+        # Data in transit is lost, but the connection stays open.
         replicas.network.stalled.add(session.daemon.address)
         await asyncio.sleep(0.3)
         replicas.network.stalled.clear()
@@ -759,7 +779,7 @@
 
 
 async def moved_leader_wakes() -> list[str]:
-    """Who waits for an answer of a lost leader hears of the next one."""
+    """Callers that wait for a lost leader are woken when another is found."""
     faults = []
     for seed in range(10):
         replicas = await _formed(seed=seed)
@@ -774,18 +794,18 @@
             replicas.network.isolate(old)
             await asyncio.sleep(4.0)
             if session.leader.address == old:
-                faults.append(f"seed {seed}: no other leader was found")
+                faults.append(f"seed {seed}: no other leader found")
             elif not moved.is_set():
-                faults.append(f"seed {seed}: nobody was woken")
+                faults.append(f"seed {seed}: event of the move not set")
         await replicas.stop_all()
     return faults
 
 
 async def two_restart_at_once() -> list[str]:
-    """Two of three that restart together elect a leader soon.
+    """Two of three replicas that restart together elect a leader soon.
 
-    Each needs the other's vote, so that standing at the same moment again
-    and again elects nobody.
+    Each needs the other's vote; candidates that always start their elections
+    at the same moment would never elect one.
     """
     faults = []
     for seed in range(40):
@@ -806,7 +826,10 @@
 
 
 async def all_restart_at_once() -> list[str]:
-    """After a start of all replicas at once one leads without the wait."""
+    """After a restart of all replicas one leads before the election time-out.
+
+    They can elect one early, since none of them can still hold a lease.
+    """
     faults = []
     times = []
     for seed in range(40):
@@ -828,14 +851,15 @@
     times.sort()
     median_s = times[len(times) // 2]
     if median_s > 0.4 or times[-1] > 3:
-        faults.append(f"median {median_s:.2f} s, most {times[-1]:.2f} s")
+        faults.append(f"median {median_s:.2f} s, maximum {times[-1]:.2f} s")
     return faults
 
 
 async def lease_outlives_restarts() -> list[str]:
-    """A leader that is cut off keeps its lease from restarted followers.
+    """Restarted followers elect nobody while the old leader holds its lease.
 
-    They heard no leader since their start, and are a majority; but not all.
+    The leader is cut off. The followers have heard no leader since their
+    start and are a majority, but an early election needs all votes.
     """
     faults = []
     for seed in range(20):
@@ -862,11 +886,11 @@
 
 
 async def won_leads_last() -> list[str]:
-    """A lead, once won, is not lost to a candidate that wins nothing.
+    """A new leader is not deposed by a candidate that wins no election.
 
-    Two replicas stand within 20 ms, in a network that needs up to 9 ms for
-    a way and cuts nothing off, sometimes with terms that differ: so a lead
-    that ends was disturbed.
+    Two replicas start elections within 20 ms, sometimes with different
+    terms, in a network with one-way delays of up to 9 ms and no partition.
+    So a leadership that ends was ended by the other candidate.
     """
     faults = []
     for seed in range(ELECTIONS):
@@ -880,9 +904,9 @@
 
 
 async def late_hand_over() -> list[str]:
-    """A word to take the lead counts in the term that it was given in.
+    """A leadership transfer is valid only in the term that it was sent in.
 
-    Taken later it would pass by the lease of the next leader.
+    Carried out later, it would bypass the lease of the next leader.
     """
     replicas = await _formed()
     leader = await replicas.leader()
@@ -894,17 +918,17 @@
 
     heir._stand = stand
     await heir.on_lead(quorum_messages.LeadRequest(heir.member.id, heir.term))
-    # The loop that stands gets its turn only after the next term is known.
+    # The election loop runs only after the next term is known.
     heir._vote = quorum_messages.Vote(heir.term + 1)
     await asyncio.sleep(0.3)
-    return ["It stood past the lease of the next."] if any(stands) else []
+    return ["It bypassed the next leader's lease."] if any(stands) else []
 
 
 async def slow_votes_end_stands() -> list[str]:
-    """A candidate that has voted for another since it stood stands no more.
+    """A candidate that has voted for another gives up its own election.
 
-    As in won_leads_last, where the terms are the same, but a way takes up
-    to 80 ms: longer than a word before the vote binds.
+    Like won_leads_last with equal terms, but with one-way delays of up to
+    80 ms, longer than a pre-vote reserves a replica for its candidate.
     """
     faults = []
     for seed in range(ELECTIONS):
@@ -918,7 +942,7 @@
 
 
 async def _contested(replicas: Replicas) -> list[str]:
-    """Let two stand almost together, on a network and disks of some kind."""
+    """Run a contested election with random delays of network and disks."""
     rng = replicas.rng
     replicas.network.slow = rng.choice((0.001, 0.003, 0.008))
     for disk in replicas.disk_by_address.values():
@@ -930,11 +954,14 @@
 
 
 async def _two_stand(replicas: Replicas, apart_s: float) -> list[str]:
-    """Let two of three that hear no leader stand; tell if a lead ends."""
+    """Run the elections of two of three replicas that hear no leader.
+
+    Returns a fault unless exactly one leadership begins, and lasts.
+    """
     rng = replicas.rng
     nodes = list(replicas.node_by_address.values())
     for node in nodes:
-        # As if none had been heard for long.
+        # As if no leader had been heard for long.
         node._become_follower(None)
         node._heard_at -= 10.0
         node._stands_after = float("-inf")
@@ -942,7 +969,7 @@
     heard_at = second._heard_at
     stands = [asyncio.create_task(first._stand(False))]
     await asyncio.sleep(rng.uniform(0.0, apart_s))
-    # One that has voted meanwhile would wait, as the loop that stands does.
+    # A replica that has voted meanwhile waits, as in its election loop.
     if second._heard_at == heard_at:
         stands.append(asyncio.create_task(second._stand(False)))
     led: set[tuple[str, int]] = set()
@@ -960,14 +987,14 @@
     await asyncio.gather(*stands, return_exceptions=True)
     if len(led) == 1 and now == led:
         return []
-    return [f"led {sorted(led)}, at last {sorted(now)}"]
+    return [f"leaders {sorted(led)}, at the end {sorted(now)}"]
 
 
 async def restart_then_power_loss() -> list[str]:
-    """What a restarted process finds, but nobody synced, is synced first.
+    """A restarted process syncs the log that it finds before it uses it.
 
-    A process that is killed leaves its writes to the system; the next one
-    reads them, acknowledges them, and then the power is lost.
+    The writes of a killed process may be in the page cache only. The next
+    process reads and acknowledges them, and a power loss would lose them.
     """
     disk = standins.MemoryDisk(random.Random(1))
     storage = quorum.Storage(disk)
@@ -982,7 +1009,7 @@
 
 
 async def luck_of_its_own() -> list[str]:
-    """Daemons draw apart though the system gives all the same randomness."""
+    """Daemons draw different numbers although uuid4 returns the same."""
     same = unittest.mock.patch.object(uuid, "uuid4", lambda: uuid.UUID(int=7))
     with same:
         draws = {wire.own_luck(f"r{n}").random() for n in range(20)}
@@ -996,9 +1023,10 @@
 
 
 async def split_votes_end() -> list[str]:
-    """A replica whose vote was split waits at random before the next.
+    """A candidate waits a random time after a split vote.
 
-    Here every real vote is split: others would stand at the same moment.
+    Here each pre-vote succeeds and each vote is split, as if others started
+    elections at the same moment.
     """
     replicas = await _formed()
     node = await replicas.leader()
@@ -1015,7 +1043,7 @@
     before = node.term
     await asyncio.sleep(6.0)
     stood = node.term - before
-    return [f"It stood {stood} times in 6 s."] if stood > 20 else []
+    return [f"{stood} elections in 6 s"] if stood > 20 else []
 
 
 def make_replica(
@@ -1029,7 +1057,7 @@
     forms: bool,
     luck: random.Random,
 ) -> daemon.Replica:
-    """Return a replica's process on a network in memory; not started."""
+    """Return a replica on a network in memory; it is not started."""
     with unittest.mock.patch.object(wire, "own_luck", lambda _: luck):
         replica = daemon.Replica(
             settings,
@@ -1052,7 +1080,7 @@
     seeds: collections.abc.Sequence[str],
     **fields: object,
 ) -> daemon.RoleSettings:
-    """Return settings of a replica, with the time-outs of a small log."""
+    """Return settings of a replica with short time-outs."""
     return daemon.RoleSettings(
         name,
         address,
@@ -1066,11 +1094,11 @@
 
 
 class Deployed(Replicas):
-    """Replicas as a deployment starts them; the first three are seeds.
+    """Replicas as a deployment runs them; the first three are seeds.
 
     Args:
-        losses: how many may be lost at once.
-        datacentres: where they are, by turns.
+        losses: number of simultaneous replica failures to tolerate.
+        datacentres: data centres, assigned to the replicas in turn.
     """
 
     def __init__(
@@ -1089,7 +1117,7 @@
         self.replica_by_address: dict[str, daemon.Replica] = {}
 
     async def start(self, address: str, forms: bool = False) -> quorum.Node:
-        """Start a replica's process."""
+        """Start a replica."""
         settings = replica_settings(
             address,
             address,
@@ -1126,22 +1154,22 @@
         await replica.__aexit__(None, None, None)
 
     async def start_all(self) -> None:
-        """Start at once all that do not run; the log forms by itself."""
+        """Start all stopped replicas at once; they form the log if needed."""
         away = set(self.addresses) - set(self.node_by_address)
         await asyncio.gather(*(self.start(a, True) for a in sorted(away)))
 
     async def lose_disk(self, address: str) -> None:
-        """Kill a replica, and its disk with it."""
+        """Kill a replica and erase its disk."""
         await self.stop(address)
         self.disk_by_address[address].lose()
         self.disk_by_address[address].start_again()
 
     def voters(self, node: quorum.Node) -> set[str]:
-        """Return the addresses of those that vote, as one replica knows."""
+        """Return the addresses of the voters in a node's configuration."""
         return {member.address for member in node.config.voters}
 
     async def vote(self, addresses: set[str], within_s: float) -> str | None:
-        """Wait until just these vote and run; say who does otherwise."""
+        """Wait until exactly these are voters, all running; return a fault."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + within_s
         found: set[str] = set()
@@ -1156,7 +1184,7 @@
         return f"{sorted(found)} vote, not {sorted(addresses)}"
 
     async def grown(self, wanted: int, within_s: float = 8.0) -> list[str]:
-        """Wait until so many vote; return what is wrong."""
+        """Wait for this number of voters; return faults."""
         ends_at = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < ends_at:
             leader = await self.leader()
@@ -1166,18 +1194,18 @@
         return [f"{len(leader.config.voters)} of {wanted} vote"]
 
     async def acknowledged(self, version: int) -> None:
-        """Have a change of the routes acknowledged."""
+        """Commit a change of the routes."""
         leader = await self.leader()
         await leader.propose(_change(version))
 
     async def keeps(self, version: int, within_s: float) -> list[str]:
-        """Wait for a leader that knows this version; say what is wrong."""
+        """Wait for a leader and check its version; return faults."""
         loop = asyncio.get_running_loop()
         before = loop.time()
         try:
             leader = await self.leader()
         except AssertionError:
-            return ["none leads"]
+            return ["no leader was elected"]
         took_s = loop.time() - before
         found = self.machine_by_address[leader.member.address].routes_document
         faults = []
@@ -1188,14 +1216,14 @@
         return faults
 
     async def recovers(self, within_s: float) -> list[str]:
-        """Wait for a leader that knows version 1, then have it take one."""
+        """Check for a leader with version 1, then commit version 2."""
         faults = await self.keeps(1, within_s)
         if not faults:
             await self.acknowledged(2)
         return faults
 
     def lost_at_random(self, leader: quorum.Node) -> list[str]:
-        """Draw as many voters as may be lost; the leader is often one."""
+        """Sample as many voters as may be lost; often one is the leader."""
         return self.rng.sample(sorted(self.voters(leader)), self.losses)
 
 
@@ -1206,7 +1234,7 @@
     make: collections.abc.Callable[[int], Deployed],
     seeds: range,
 ) -> list[str]:
-    """Play a scenario with several seeds; return what went wrong where."""
+    """Run a scenario with several seeds; return faults with their seed."""
     faults = []
     for seed in seeds:
         replicas = make(seed)
@@ -1221,12 +1249,12 @@
 
 
 def _five_or_six(seed: int) -> Deployed:
-    """Return five replicas, or six of which one does not vote."""
+    """Return five replicas, or six, of which one is not a voter."""
     return Deployed(5 + seed % 2, seed)
 
 
 async def disks_lost_in_a_power_cut() -> list[str]:
-    """As many disks as may be are lost while all others lose power."""
+    """The tolerated number of disks is lost while all others lose power."""
 
     async def work(replicas: Deployed) -> list[str]:
         faults = await replicas.grown(5)
@@ -1246,7 +1274,7 @@
 
 
 async def voters_away() -> list[str]:
-    """The log goes on while as many as may be lost are without power."""
+    """The log is available while the tolerated number is without power."""
 
     async def work(replicas: Deployed) -> list[str]:
         faults = await replicas.grown(5)
@@ -1267,7 +1295,7 @@
 
 
 async def voters_grow_in_steps() -> list[str]:
-    """The seeds form the log; one by one the others join, and no more."""
+    """The seeds form the log; others become voters one by one, to a limit."""
     faults = []
     for losses, count in ((2, 5), (2, 7), (1, 5), (3, 9)):
         for seed in range(3):
@@ -1278,7 +1306,7 @@
 
 
 async def _growth_of(replicas: Deployed) -> list[str]:
-    """Start all, and look at each configuration that comes in force."""
+    """Start all replicas and check each configuration that takes effect."""
     faults: list[str] = []
     await replicas.start_all()
     last: quorum.Config | None = None
@@ -1291,7 +1319,7 @@
             if last is not None:
                 added = set(newest.voters) - set(last.voters)
                 if len(added) > 1 or not added <= set(last.learners):
-                    faults.append(f"{len(added)} came at once")
+                    faults.append(f"{len(added)} voters added at once")
             last = newest
         await asyncio.sleep(0.002)
     wanted = 2 * replicas.losses + 1
@@ -1304,7 +1332,10 @@
 
 
 async def spare_takes_a_place() -> list[str]:
-    """A sixth learns, votes for one that is gone, and that one may return."""
+    """A spare learner replaces a voter that is gone.
+
+    The former voter returns as a learner, and replaces the next one.
+    """
 
     async def work(replicas: Deployed) -> list[str]:
         faults = await replicas.grown(5)
@@ -1314,7 +1345,7 @@
         spare = everyone - replicas.voters(leader)
         learners = {m.address for m in leader.config.learners}
         if len(spare) != 1 or learners != spare:
-            faults.append(f"{len(learners)} learn, {len(spare)} don't vote")
+            faults.append(f"{len(learners)} learners, {len(spare)} not voting")
         gone = replicas.rng.choice(sorted(replicas.voters(leader)))
         await replicas.lose_power(gone)
         wrong = await replicas.vote(everyone - {gone}, 8.0)
@@ -1324,7 +1355,7 @@
         await asyncio.sleep(4.0)
         leader = await replicas.leader()
         if gone not in {m.address for m in leader.config.learners}:
-            faults.append("The one that returned does not learn.")
+            faults.append("The replica that returned is not a learner.")
         next_gone = replicas.rng.choice(sorted(replicas.voters(leader)))
         await replicas.lose_power(next_gone)
         wrong = await replicas.vote(everyone - {next_gone}, 8.0)
@@ -1335,7 +1366,7 @@
 
 
 async def disks_lost_during_repair() -> list[str]:
-    """A second disk is lost while the first is made good."""
+    """Another disk is lost while the replica of the first one recovers."""
 
     async def work(replicas: Deployed) -> list[str]:
         faults = await replicas.grown(5)
@@ -1356,7 +1387,7 @@
 
 
 async def disk_lost_twice() -> list[str]:
-    """A learner that loses its disk again is brought in all the same."""
+    """A learner that loses its disk again still becomes a voter."""
 
     async def work(replicas: Deployed) -> list[str]:
         faults = await replicas.grown(5)
@@ -1372,7 +1403,7 @@
                 break
             await asyncio.sleep(0.01)
         else:
-            faults.append("It never learned.")
+            faults.append("The replica never became a learner.")
         await replicas.lose_disk(lost)
         replicas.disk_by_address[lost].sync_s = 0.0
         await replicas.start(lost)
@@ -1383,9 +1414,10 @@
 
 
 async def lost_datacentre() -> list[str]:
-    """Voters are spread, so that a data centre never holds a majority.
+    """Voters are spread so that no data centre holds a majority.
 
-    The seeds may all be in one; whoever asks first may be there too.
+    The seeds may all be in one data centre, and the first replicas to join
+    too.
     """
 
     async def work(replicas: Deployed) -> list[str]:
@@ -1399,7 +1431,7 @@
             leader = await replicas.leader()
             voting = [where[a] for a in replicas.voters(leader)]
             if 2 * voting.count(lost) >= len(voting):
-                faults.append(f"{voting} vote")
+                faults.append(f"voters in {voting}")
         for address in [a for a in where if where[a] == "da"]:
             await replicas.lose_power(address)
         await asyncio.sleep(0.6)
@@ -1416,7 +1448,7 @@
 
 
 async def part_of_a_library() -> list[str]:
-    """A program of two roles starts without what it does not use."""
+    """A program that uses only the replica imports no unused modules."""
     program = (
         "import sys; from bergamotsail import daemon; daemon.Replica; "
         "print(*sys.modules)"
@@ -1429,14 +1461,14 @@
     )
     loaded = done.stdout.split()
     unused = {"bergamotsail.settings", "bergamotsail.daemon._assembly"}
-    faults = [f"{name} was imported." for name in unused & set(loaded)]
+    faults = [f"{name} was imported" for name in unused & set(loaded)]
     try:
         daemon.Nothing
-        faults.append("A name that is not there was found.")
+        faults.append("An unknown name was found.")
     except AttributeError:
         pass
     if not issubclass(daemon.Daemon, object):
-        faults.append("A name that is there was not found.")
+        faults.append("A public name was not found.")
     return faults
 
 
@@ -1484,13 +1516,14 @@
 
 
 async def _with_its_caller(_: quorum.Node, work, *args: object) -> object:
-    """Do work on the disk only while its caller waits, as a mutant does."""
+    """Cancel a write with its caller: the replacement in a mutant."""
     return await work(*args)
 
 
-# Each switches a guard off: its name, its scenario, what it patches.
 _IS_SILENT = quorum.Node._is_silent
 _ANSWERS_AT_ONCE = (quorum.Node, "_check_loaded", lambda _: None)
+# Each mutant switches off a guard: its name, the scenario that must notice,
+# and the arguments of mock.patch.object.
 MUTANTS = (
     (
         "answer with any table",
@@ -1584,7 +1617,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run the scenario of a mutant with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
     with ledger.switched_off(guard):
         try:
