--- a/features/steps/growth.py
+++ b/features/steps/growth.py
@@ -8,24 +8,24 @@
 
 @behave.then("the table with {fault} is refused with what to do")
 def table_refused(context, fault: str) -> None:
-    assert growth.refused(fault)
+    assert growth.is_refused(fault)
 
 
 @behave.then("the longest prefix selects the route")
-def longest_prefix(context) -> None:
-    faults = growth.longest_prefix()
+def check_longest_prefix(context) -> None:
+    faults = growth.check_longest_prefix()
     assert not faults, faults
 
 
 @behave.then("who gave orders outlives a snapshot")
-def holders_outlive_snapshots(context) -> None:
-    faults = growth.holders_outlive_snapshots()
+def check_order_holders_restored(context) -> None:
+    faults = growth.check_order_holders_restored()
     assert not faults, faults
 
 
 @behave.then("a split follows its weights")
-def split_by_weight(context) -> None:
-    faults = growth.split_by_weight()
+def check_split_weights(context) -> None:
+    faults = growth.check_split_weights()
     assert not faults, faults
 
 
@@ -60,7 +60,7 @@
 
 @behave.then("repeats keep to the budget")
 def budgets(context) -> None:
-    faults = growth.budgets_keep()
+    faults = growth.check_resend_budgets()
     assert not faults, faults[:3]
 
 
--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -39,11 +39,15 @@
 
     Links carry 5 Mbit/s, and a heartbeat waits 0.6 s for its answer.
     """
-    replicas = await growth._formed()
+    replicas = await growth._form_replicas()
     faults: list[str] = []
     async with contextlib.AsyncExitStack() as stack:
-        await growth._coordinate(replicas, LEASE, stack, _ManyTargets())
-        sessions = [growth._entry(replicas, n, LEASE) for n in (1, 2, 3)]
+        await growth._start_coordinators(
+            replicas, LEASE, stack, _ManyTargets()
+        )
+        sessions = [
+            growth._make_session(replicas, n, LEASE) for n in (1, 2, 3)
+        ]
         for session in sessions:
             address = session.daemon.address
             replicas.network.bytes_per_s[address] = LINK_BYTES_PER_S
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -65,7 +65,7 @@
 }
 
 
-def refused(name: str) -> bool:
+def is_refused(name: str) -> bool:
     """Whether check_table() raises a BadRequestError with a message."""
     try:
         catalogue.check_table(BAD_TABLES[name])
@@ -74,7 +74,7 @@
     return False
 
 
-def longest_prefix() -> list[str]:
+def check_longest_prefix() -> list[str]:
     """The longest prefix of a host wins; its port and case don't matter."""
     index = catalogue.RouteIndex(
         table(
@@ -98,7 +98,7 @@
     return [] if found == wanted else [str(found)]
 
 
-def split_by_weight() -> list[str]:
+def check_split_weights() -> list[str]:
     """Requests are split by weight, and weight 0 gets none."""
     splits = (
         catalogue.Split("llm", 0),
@@ -125,10 +125,10 @@
 
 
 # Tables hold the first 0, 30 or 60 of these; 60 are about 12,000 characters.
-MANY = tuple(route(f"many-{number}") for number in range(60))
+MANY_ROUTES = tuple(route(f"many-{number}") for number in range(60))
 
 
-def _followed(
+def _catch_up(
     machine: catalogue.CatalogueMachine, follower: catalogue.View
 ) -> catalogue.View:
     """Return the view of a daemon after it has caught up with a machine."""
@@ -157,7 +157,7 @@
             text = f"{number}.{content}"
             command = catalogue.Command(
                 replace_routes=catalogue.ReplaceRoutes(
-                    table(*MANY[: content * 30], version=number), text
+                    table(*MANY_ROUTES[: content * 30], version=number), text
                 )
             )
             reply = machine.apply(index, wire.encode(command))
@@ -185,7 +185,7 @@
                 known.remove(adapter)
             known.append(adapter)
         elif what == "follow":
-            follower = _followed(machine, follower)
+            follower = _catch_up(machine, follower)
             assert follower.by_kind == machine.view.by_kind
             continue
         else:
@@ -201,7 +201,7 @@
             assert machine.view.named_version("base", key) == newest
 
 
-def holders_outlive_snapshots() -> list[str]:
+def check_order_holders_restored() -> list[str]:
     """The instances that gave orders are restored from a snapshot."""
     machine = catalogue.CatalogueMachine()
     takes = (("r1", False), ("r2", False), ("r1", False))
@@ -322,7 +322,7 @@
         raise AssertionError("no leader within 20 s")
 
 
-async def _formed(count: int = 3, seed: int = 1) -> Replicas:
+async def _form_replicas(count: int = 3, seed: int = 1) -> Replicas:
     replicas = Replicas(count, seed)
     await replicas.form()
     return replicas
@@ -335,20 +335,20 @@
 
 async def forms_by_itself() -> list[str]:
     """Three replicas with empty disks and the same seeds form one log."""
-    replicas = await _formed()
+    replicas = await _form_replicas()
     voters = {len(n.config.voters) for n in replicas.node_by_address.values()}
     leader = await replicas.leader()
     await leader.propose(_change(1))
     return [] if voters == {3} else [f"voters {voters}"]
 
 
-async def _voters_are_there(replicas: Replicas) -> list[str]:
+async def _check_voters_run(replicas: Replicas) -> list[str]:
     """Commit a change, then check that the voters are the running nodes."""
     leader = await replicas.leader()
     await leader.propose(_change(1))
     voters = {member.id for member in leader.config.voters}
-    there = {node.member.id for node in replicas.node_by_address.values()}
-    return [] if voters == there else [f"voters {voters}, running {there}"]
+    running = {node.member.id for node in replicas.node_by_address.values()}
+    return [] if voters == running else [f"voters {voters}, running {running}"]
 
 
 async def forms_with_slow_starters() -> list[str]:
@@ -363,7 +363,7 @@
         replicas.disk_by_address[address].read_s = read_s
         starts.append(replicas.start(address, True))
     await asyncio.gather(*starts)
-    return await _voters_are_there(replicas)
+    return await _check_voters_run(replicas)
 
 
 async def forms_by_order_while_loading() -> list[str]:
@@ -376,7 +376,7 @@
     await asyncio.sleep(0.1)
     await replicas.node_by_address[replicas.addresses[0]].form()
     await asyncio.gather(*starts)
-    return await _voters_are_there(replicas)
+    return await _check_voters_run(replicas)
 
 
 async def called_while_loading() -> list[str]:
@@ -432,8 +432,8 @@
     await starting
     leader = await replicas.leader()
     await asyncio.sleep(1.0)
-    document = replicas.machine_by_address[leader.member.address]
-    found = document.routes_document
+    machine = replicas.machine_by_address[leader.member.address]
+    found = machine.routes_document
     return [] if found == "2" else [f"{found} in force, 2 acknowledged"]
 
 
@@ -497,7 +497,7 @@
 
 async def successor_takes_a_place() -> list[str]:
     """A replica with a new name replaces a voter that is gone."""
-    replicas = await _formed(4)
+    replicas = await _form_replicas(4)
     leader = await replicas.leader()
     await leader.propose(_change(1))
     gone = next(
@@ -523,7 +523,7 @@
 
 async def reads_are_the_newest() -> list[str]:
     """A leader that is cut off can't confirm its leadership for a read."""
-    replicas = await _formed()
+    replicas = await _form_replicas()
     leader = await replicas.leader()
     await leader.confirm_lead(1.0)
     replicas.network.isolate(leader.member.address)
@@ -534,15 +534,15 @@
     return ["A leader without a majority confirmed its leadership."]
 
 
-def budgets_keep() -> list[str]:
+def check_resend_budgets() -> list[str]:
     """Resends stay within one budget, however requests are distributed."""
     faults = []
     for seed in range(30):
-        faults += ledger.run(_budget_history(random.Random(seed)))
+        faults += ledger.run(_check_budget_history(random.Random(seed)))
     return faults
 
 
-async def _budget_history(rng: random.Random) -> list[str]:
+async def _check_budget_history(rng: random.Random) -> list[str]:
     ratio, slack, count = 0.14, 36.0, rng.randrange(1, 10)
     daemons = [
         routing.RepeatBudgets(ratio, slack, lambda: count)
@@ -572,8 +572,8 @@
 # and how long the first leader is watched: far less than an election
 # time-out.
 ELECTIONS = 100
-NO_LEADER_S = 3.0
-WATCH_S = 0.25
+MAX_ELECTION_S = 3.0
+STABLE_LEADER_S = 0.25
 
 
 class EmptyList(targets.InstanceList):
@@ -583,7 +583,7 @@
         return ()
 
 
-def _entry(
+def _make_session(
     replicas: Replicas, number: int, lease: control.LeaseTiming
 ) -> control.Session:
     """Return the session of an entry that relays calls of its neighbours."""
@@ -602,7 +602,7 @@
     return session
 
 
-async def _coordinate(
+async def _start_coordinators(
     replicas: Replicas,
     lease: control.LeaseTiming,
     stack: contextlib.AsyncExitStack,
@@ -624,11 +624,13 @@
 
 async def cut_off_entry() -> list[str]:
     """An entry that reaches no replica is relayed by a neighbour."""
-    replicas = await _formed()
+    replicas = await _form_replicas()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
     async with contextlib.AsyncExitStack() as stack:
-        await _coordinate(replicas, lease, stack)
-        sessions = [_entry(replicas, number, lease) for number in (1, 2, 3)]
+        await _start_coordinators(replicas, lease, stack)
+        sessions = [
+            _make_session(replicas, number, lease) for number in (1, 2, 3)
+        ]
         for session in sessions:
             await stack.enter_async_context(session)
         await asyncio.sleep(3.0)
@@ -651,7 +653,7 @@
     return faults
 
 
-def _grown_table(
+def _random_table(
     version: int, count: int, rng: random.Random
 ) -> catalogue.RouteTable:
     """Return a table of many routes with random names that don't compress."""
@@ -682,7 +684,7 @@
             return
 
 
-async def _changes_of_a_table(
+async def _change_table_repeatedly(
     routes: int, changes: int, gap_s: float, link_bytes_per_s: float
 ) -> tuple[list[str], list[int]]:
     """Change a table often; return faults and received bytes by entry.
@@ -691,19 +693,21 @@
     their leases throughout, and have the newest table one lease after the
     last change.
     """
-    replicas = await _formed()
+    replicas = await _form_replicas()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
     faults: list[str] = []
     async with contextlib.AsyncExitStack() as stack:
-        await _coordinate(replicas, lease, stack)
-        sessions = [_entry(replicas, number, lease) for number in (1, 2, 3)]
+        await _start_coordinators(replicas, lease, stack)
+        sessions = [
+            _make_session(replicas, number, lease) for number in (1, 2, 3)
+        ]
         for session in sessions:
             address = session.daemon.address
             replicas.network.bytes_per_s[address] = link_bytes_per_s
             await stack.enter_async_context(session)
         await asyncio.sleep(3.0)
         replicas.network.received.clear()
-        changed = _grown_table(1, routes, replicas.rng)
+        changed = _random_table(1, routes, replicas.rng)
         watching = asyncio.create_task(
             _watch_leases(sessions, faults, changes * gap_s + lease.lease_s)
         )
@@ -730,7 +734,9 @@
     Forty changes within a second take fewer bytes than the plain text of one
     table, which is 376 kB.
     """
-    faults, received = await _changes_of_a_table(1_500, 40, 0.025, 625_000)
+    faults, received = await _change_table_repeatedly(
+        1_500, 40, 0.025, 625_000
+    )
     if max(received) > 376_000:
         faults.append(f"{max(received)} bytes to an entry")
     return faults
@@ -742,7 +748,7 @@
     12,000 routes with random names are 0.3 MB on the wire, which takes 1 s
     at 2.4 Mbit/s; a call times out after 0.6 s, and a lease lasts 2 s.
     """
-    faults, _ = await _changes_of_a_table(12_000, 3, 2.0, 300_000)
+    faults, _ = await _change_table_repeatedly(12_000, 3, 2.0, 300_000)
     return faults
 
 
@@ -751,21 +757,21 @@
 
     A fetch takes 0.6 s, and the table changes every 0.2 s.
     """
-    faults, _ = await _changes_of_a_table(12_000, 14, 0.2, 450_000)
+    faults, _ = await _change_table_repeatedly(12_000, 14, 0.2, 450_000)
     return faults
 
 
 async def lost_fetch_is_repeated() -> list[str]:
     """A fetch that stalls is abandoned and repeated within 4 s."""
-    replicas = await _formed()
+    replicas = await _form_replicas()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
     async with contextlib.AsyncExitStack() as stack:
-        await _coordinate(replicas, lease, stack)
-        session = _entry(replicas, 1, lease)
+        await _start_coordinators(replicas, lease, stack)
+        session = _make_session(replicas, 1, lease)
         replicas.network.bytes_per_s[session.daemon.address] = 300_000
         await stack.enter_async_context(session)
         await asyncio.sleep(3.0)
-        await _replace_table(replicas, _grown_table(1, 12_000, replicas.rng))
+        await _replace_table(replicas, _random_table(1, 12_000, replicas.rng))
         await asyncio.sleep(0.6)
         # Data in transit is lost, but the connection stays open.
         replicas.network.stalled.add(session.daemon.address)
@@ -782,11 +788,11 @@
     """Callers that wait for a lost leader are woken when another is found."""
     faults = []
     for seed in range(10):
-        replicas = await _formed(seed=seed)
+        replicas = await _form_replicas(seed=seed)
         lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
         async with contextlib.AsyncExitStack() as stack:
-            await _coordinate(replicas, lease, stack)
-            session = _entry(replicas, 1, lease)
+            await _start_coordinators(replicas, lease, stack)
+            session = _make_session(replicas, 1, lease)
             await stack.enter_async_context(session)
             await asyncio.sleep(2.0)
             old = session.leader.address
@@ -844,8 +850,8 @@
             await replicas.start(address)
         leader = await replicas.leader()
         times.append(loop.time() - before)
-        document = replicas.machine_by_address[leader.member.address]
-        if document.routes_document != "1":
+        machine = replicas.machine_by_address[leader.member.address]
+        if machine.routes_document != "1":
             faults.append(f"seed {seed}: the change is lost")
         await replicas.stop_all()
     times.sort()
@@ -894,10 +900,11 @@
     """
     faults = []
     for seed in range(ELECTIONS):
-        replicas = await _formed(seed=seed)
+        replicas = await _form_replicas(seed=seed)
         await asyncio.sleep(1.0)
         faults += [
-            f"seed {seed}: {fault}" for fault in await _contested(replicas)
+            f"seed {seed}: {fault}"
+            for fault in await _run_contested_election(replicas)
         ]
         await replicas.stop_all()
     return faults
@@ -908,20 +915,24 @@
 
     Carried out later, it would bypass the lease of the next leader.
     """
-    replicas = await _formed()
+    replicas = await _form_replicas()
     leader = await replicas.leader()
-    heir = next(n for n in replicas.node_by_address.values() if n != leader)
-    stands: list[bool] = []
+    successor = next(
+        n for n in replicas.node_by_address.values() if n != leader
+    )
+    elections: list[bool] = []
 
-    async def stand(transfer: bool, unanimous: bool = False) -> None:
-        stands.append(transfer)
+    async def run_election(transfer: bool, unanimous: bool = False) -> None:
+        elections.append(transfer)
 
-    heir._stand = stand
-    await heir.on_lead(quorum_messages.LeadRequest(heir.member.id, heir.term))
+    successor._stand = run_election
+    await successor.on_lead(
+        quorum_messages.LeadRequest(successor.member.id, successor.term)
+    )
     # The election loop runs only after the next term is known.
-    heir._vote = quorum_messages.Vote(heir.term + 1)
+    successor._vote = quorum_messages.Vote(successor.term + 1)
     await asyncio.sleep(0.3)
-    return ["It bypassed the next leader's lease."] if any(stands) else []
+    return ["It bypassed the next leader's lease."] if any(elections) else []
 
 
 async def slow_votes_end_stands() -> list[str]:
@@ -932,16 +943,16 @@
     """
     faults = []
     for seed in range(ELECTIONS):
-        replicas = await _formed(seed=seed)
+        replicas = await _form_replicas(seed=seed)
         await asyncio.sleep(1.0)
         replicas.network.slow = 0.08
-        found = await _two_stand(replicas, 0.1)
+        found = await _run_two_elections(replicas, 0.1)
         faults += [f"seed {seed}: {fault}" for fault in found]
         await replicas.stop_all()
     return faults
 
 
-async def _contested(replicas: Replicas) -> list[str]:
+async def _run_contested_election(replicas: Replicas) -> list[str]:
     """Run a contested election with random delays of network and disks."""
     rng = replicas.rng
     replicas.network.slow = rng.choice((0.001, 0.003, 0.008))
@@ -950,10 +961,10 @@
     if rng.random() < 0.5:
         ahead = rng.choice(list(replicas.node_by_address.values()))
         await ahead._learn_term(ahead.term + 1)
-    return await _two_stand(replicas, 0.02)
+    return await _run_two_elections(replicas, 0.02)
 
 
-async def _two_stand(replicas: Replicas, apart_s: float) -> list[str]:
+async def _run_two_elections(replicas: Replicas, apart_s: float) -> list[str]:
     """Run the elections of two of three replicas that hear no leader.
 
     Returns a fault unless exactly one leadership begins, and lasts.
@@ -967,13 +978,13 @@
         node._stands_after = float("-inf")
     first, second = rng.sample(nodes, 2)
     heard_at = second._heard_at
-    stands = [asyncio.create_task(first._stand(False))]
+    elections = [asyncio.create_task(first._stand(False))]
     await asyncio.sleep(rng.uniform(0.0, apart_s))
     # A replica that has voted meanwhile waits, as in its election loop.
     if second._heard_at == heard_at:
-        stands.append(asyncio.create_task(second._stand(False)))
-    led: set[tuple[str, int]] = set()
-    ends_at = asyncio.get_running_loop().time() + NO_LEADER_S
+        elections.append(asyncio.create_task(second._stand(False)))
+    leaders: set[tuple[str, int]] = set()
+    ends_at = asyncio.get_running_loop().time() + MAX_ELECTION_S
     while asyncio.get_running_loop().time() < ends_at:
         await asyncio.sleep(0.002)
         now = {
@@ -981,13 +992,13 @@
             for node in nodes
             if node.role is quorum.Role.LEADER
         }
-        if now and not led:
-            ends_at = asyncio.get_running_loop().time() + WATCH_S
-        led |= now
-    await asyncio.gather(*stands, return_exceptions=True)
-    if len(led) == 1 and now == led:
+        if now and not leaders:
+            ends_at = asyncio.get_running_loop().time() + STABLE_LEADER_S
+        leaders |= now
+    await asyncio.gather(*elections, return_exceptions=True)
+    if len(leaders) == 1 and now == leaders:
         return []
-    return [f"leaders {sorted(led)}, at the end {sorted(now)}"]
+    return [f"leaders {sorted(leaders)}, at the end {sorted(now)}"]
 
 
 async def restart_then_power_loss() -> list[str]:
@@ -1028,7 +1039,7 @@
     Here each pre-vote succeeds and each vote is split, as if others started
     elections at the same moment.
     """
-    replicas = await _formed()
+    replicas = await _form_replicas()
     node = await replicas.leader()
     others = [n for n in replicas.node_by_address.values() if n is not node]
     await replicas.stop(others[0].member.address)
@@ -1042,8 +1053,10 @@
     await asyncio.sleep(2.0)
     before = node.term
     await asyncio.sleep(6.0)
-    stood = node.term - before
-    return [f"{stood} elections in 6 s"] if stood > 20 else []
+    election_count = node.term - before
+    return (
+        [f"{election_count} elections in 6 s"] if election_count > 20 else []
+    )
 
 
 def make_replica(
@@ -1055,10 +1068,10 @@
         [targets.Instance], targets.AdapterEngine | None
     ],
     forms: bool,
-    luck: random.Random,
+    rng: random.Random,
 ) -> daemon.Replica:
     """Return a replica on a network in memory; it is not started."""
-    with unittest.mock.patch.object(wire, "own_luck", lambda _: luck):
+    with unittest.mock.patch.object(wire, "own_luck", lambda _: rng):
         replica = daemon.Replica(
             settings,
             standins.MemoryTransport(network, settings.address),
@@ -1168,7 +1181,9 @@
         """Return the addresses of the voters in a node's configuration."""
         return {member.address for member in node.config.voters}
 
-    async def vote(self, addresses: set[str], within_s: float) -> str | None:
+    async def wait_for_voters(
+        self, addresses: set[str], within_s: float
+    ) -> str | None:
         """Wait until exactly these are voters, all running; return a fault."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + within_s
@@ -1177,13 +1192,15 @@
             leader = await self.leader()
             found = self.voters(leader)
             ids = {m.id for m in leader.config.voters}
-            there = {n.member.id for n in self.node_by_address.values()}
-            if found == addresses and ids <= there:
+            running = {n.member.id for n in self.node_by_address.values()}
+            if found == addresses and ids <= running:
                 return None
             await asyncio.sleep(0.05)
         return f"{sorted(found)} vote, not {sorted(addresses)}"
 
-    async def grown(self, wanted: int, within_s: float = 8.0) -> list[str]:
+    async def wait_for_voter_count(
+        self, wanted: int, within_s: float = 8.0
+    ) -> list[str]:
         """Wait for this number of voters; return faults."""
         ends_at = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < ends_at:
@@ -1193,12 +1210,12 @@
             await asyncio.sleep(0.05)
         return [f"{len(leader.config.voters)} of {wanted} vote"]
 
-    async def acknowledged(self, version: int) -> None:
+    async def commit_version(self, version: int) -> None:
         """Commit a change of the routes."""
         leader = await self.leader()
         await leader.propose(_change(version))
 
-    async def keeps(self, version: int, within_s: float) -> list[str]:
+    async def check_leader(self, version: int, within_s: float) -> list[str]:
         """Wait for a leader and check its version; return faults."""
         loop = asyncio.get_running_loop()
         before = loop.time()
@@ -1215,19 +1232,19 @@
             faults.append(f"{found} in force, {version} acknowledged")
         return faults
 
-    async def recovers(self, within_s: float) -> list[str]:
+    async def check_recovery(self, within_s: float) -> list[str]:
         """Check for a leader with version 1, then commit version 2."""
-        faults = await self.keeps(1, within_s)
+        faults = await self.check_leader(1, within_s)
         if not faults:
-            await self.acknowledged(2)
+            await self.commit_version(2)
         return faults
 
-    def lost_at_random(self, leader: quorum.Node) -> list[str]:
+    def sample_voters(self, leader: quorum.Node) -> list[str]:
         """Sample as many voters as may be lost; often one is the leader."""
         return self.rng.sample(sorted(self.voters(leader)), self.losses)
 
 
-async def _for_seeds(
+async def _run_with_seeds(
     work: collections.abc.Callable[
         [Deployed], collections.abc.Awaitable[list[str]]
     ],
@@ -1257,9 +1274,9 @@
     """The tolerated number of disks is lost while all others lose power."""
 
     async def work(replicas: Deployed) -> list[str]:
-        faults = await replicas.grown(5)
-        await replicas.acknowledged(1)
-        lost = replicas.lost_at_random(await replicas.leader())
+        faults = await replicas.wait_for_voter_count(5)
+        await replicas.commit_version(1)
+        lost = replicas.sample_voters(await replicas.leader())
         for address in replicas.addresses:
             if address in lost:
                 await replicas.lose_disk(address)
@@ -1267,31 +1284,31 @@
                 await replicas.lose_power(address)
         await asyncio.sleep(1.0)
         await replicas.start_all()
-        faults += await replicas.recovers(4.0)
-        return faults or await replicas.grown(5)
+        faults += await replicas.check_recovery(4.0)
+        return faults or await replicas.wait_for_voter_count(5)
 
-    return await _for_seeds(work, _five_or_six, range(10))
+    return await _run_with_seeds(work, _five_or_six, range(10))
 
 
 async def voters_away() -> list[str]:
     """The log is available while the tolerated number is without power."""
 
     async def work(replicas: Deployed) -> list[str]:
-        faults = await replicas.grown(5)
-        await replicas.acknowledged(1)
-        for address in replicas.lost_at_random(await replicas.leader()):
+        faults = await replicas.wait_for_voter_count(5)
+        await replicas.commit_version(1)
+        for address in replicas.sample_voters(await replicas.leader()):
             await replicas.lose_power(address)
         await asyncio.sleep(0.6)
-        faults += await replicas.recovers(3.0)
+        faults += await replicas.check_recovery(3.0)
         if faults:
             return faults
         await asyncio.sleep(7.0)
         await replicas.start_all()
         await asyncio.sleep(4.0)
-        faults += await replicas.grown(5)
-        return faults + await replicas.keeps(2, 0.1)
+        faults += await replicas.wait_for_voter_count(5)
+        return faults + await replicas.check_leader(2, 0.1)
 
-    return await _for_seeds(work, _five_or_six, range(10))
+    return await _run_with_seeds(work, _five_or_six, range(10))
 
 
 async def voters_grow_in_steps() -> list[str]:
@@ -1299,13 +1316,13 @@
     faults = []
     for losses, count in ((2, 5), (2, 7), (1, 5), (3, 9)):
         for seed in range(3):
-            found = await _growth_of(Deployed(count, seed, losses))
+            found = await _check_growth(Deployed(count, seed, losses))
             where = f"{losses} losses, {count} replicas, seed {seed}"
             faults += [f"{where}: {fault}" for fault in found]
     return faults
 
 
-async def _growth_of(replicas: Deployed) -> list[str]:
+async def _check_growth(replicas: Deployed) -> list[str]:
     """Start all replicas and check each configuration that takes effect."""
     faults: list[str] = []
     await replicas.start_all()
@@ -1338,7 +1355,7 @@
     """
 
     async def work(replicas: Deployed) -> list[str]:
-        faults = await replicas.grown(5)
+        faults = await replicas.wait_for_voter_count(5)
         await asyncio.sleep(2.0)
         leader = await replicas.leader()
         everyone = set(replicas.addresses)
@@ -1348,9 +1365,9 @@
             faults.append(f"{len(learners)} learners, {len(spare)} not voting")
         gone = replicas.rng.choice(sorted(replicas.voters(leader)))
         await replicas.lose_power(gone)
-        wrong = await replicas.vote(everyone - {gone}, 8.0)
+        wrong = await replicas.wait_for_voters(everyone - {gone}, 8.0)
         faults += [wrong] if wrong else []
-        await replicas.acknowledged(1)
+        await replicas.commit_version(1)
         await replicas.start(gone)
         await asyncio.sleep(4.0)
         leader = await replicas.leader()
@@ -1358,20 +1375,20 @@
             faults.append("The replica that returned is not a learner.")
         next_gone = replicas.rng.choice(sorted(replicas.voters(leader)))
         await replicas.lose_power(next_gone)
-        wrong = await replicas.vote(everyone - {next_gone}, 8.0)
+        wrong = await replicas.wait_for_voters(everyone - {next_gone}, 8.0)
         faults += [f"then {wrong}"] if wrong else []
-        return faults + await replicas.keeps(1, 0.1)
+        return faults + await replicas.check_leader(1, 0.1)
 
-    return await _for_seeds(work, lambda n: Deployed(6, n), range(6))
+    return await _run_with_seeds(work, lambda n: Deployed(6, n), range(6))
 
 
 async def disks_lost_during_repair() -> list[str]:
     """Another disk is lost while the replica of the first one recovers."""
 
     async def work(replicas: Deployed) -> list[str]:
-        faults = await replicas.grown(5)
-        await replicas.acknowledged(1)
-        lost = replicas.lost_at_random(await replicas.leader())
+        faults = await replicas.wait_for_voter_count(5)
+        await replicas.commit_version(1)
+        lost = replicas.sample_voters(await replicas.leader())
         for address in lost:
             await replicas.lose_disk(address)
             await asyncio.sleep(0.3)
@@ -1380,17 +1397,17 @@
         for address in set(replicas.addresses) - set(lost):
             await replicas.lose_power(address)
         await replicas.start_all()
-        faults += await replicas.recovers(4.0)
-        return faults or await replicas.grown(5)
+        faults += await replicas.check_recovery(4.0)
+        return faults or await replicas.wait_for_voter_count(5)
 
-    return await _for_seeds(work, _five_or_six, range(10))
+    return await _run_with_seeds(work, _five_or_six, range(10))
 
 
 async def disk_lost_twice() -> list[str]:
     """A learner that loses its disk again still becomes a voter."""
 
     async def work(replicas: Deployed) -> list[str]:
-        faults = await replicas.grown(5)
+        faults = await replicas.wait_for_voter_count(5)
         leader = await replicas.leader()
         others = replicas.voters(leader) - {leader.member.address}
         lost = replicas.rng.choice(sorted(others))
@@ -1407,10 +1424,10 @@
         await replicas.lose_disk(lost)
         replicas.disk_by_address[lost].sync_s = 0.0
         await replicas.start(lost)
-        wrong = await replicas.vote(set(replicas.addresses), 8.0)
+        wrong = await replicas.wait_for_voters(set(replicas.addresses), 8.0)
         return faults + ([wrong] if wrong else [])
 
-    return await _for_seeds(work, lambda n: Deployed(5, n), range(5))
+    return await _run_with_seeds(work, lambda n: Deployed(5, n), range(5))
 
 
 async def lost_datacentre() -> list[str]:
@@ -1422,10 +1439,10 @@
 
     async def work(replicas: Deployed) -> list[str]:
         wanted = 2 * replicas.losses + 1
-        faults = await replicas.grown(wanted)
+        faults = await replicas.wait_for_voter_count(wanted)
         await asyncio.sleep(6.0)
-        faults += await replicas.grown(wanted)
-        await replicas.acknowledged(1)
+        faults += await replicas.wait_for_voter_count(wanted)
+        await replicas.commit_version(1)
         where = replicas.datacentre_by_address
         for lost in sorted(set(where.values())):
             leader = await replicas.leader()
@@ -1435,14 +1452,14 @@
         for address in [a for a in where if where[a] == "da"]:
             await replicas.lose_power(address)
         await asyncio.sleep(0.6)
-        return faults + await replicas.keeps(1, 3.0)
+        return faults + await replicas.check_leader(1, 3.0)
 
     crowded = ("da", "da", "da", "da", "db", "db", "dc", "dc")
     in_two = ("da", "da", "db", "da", "dc")
-    faults = await _for_seeds(
+    faults = await _run_with_seeds(
         work, lambda n: Deployed(8, n, 2, crowded), range(5)
     )
-    return faults + await _for_seeds(
+    return faults + await _run_with_seeds(
         work, lambda n: Deployed(5, n, 1, in_two), range(5)
     )
 
@@ -1515,13 +1532,13 @@
     return ledger.run(SCENARIOS[name]())
 
 
-async def _with_its_caller(_: quorum.Node, work, *args: object) -> object:
+async def _run_until_cancelled(_: quorum.Node, work, *args: object) -> object:
     """Cancel a write with its caller: the replacement in a mutant."""
     return await work(*args)
 
 
 _IS_SILENT = quorum.Node._is_silent
-_ANSWERS_AT_ONCE = (quorum.Node, "_check_loaded", lambda _: None)
+_WITHOUT_LOAD_CHECK = (quorum.Node, "_check_loaded", lambda _: None)
 # Each mutant switches off a guard: its name, the scenario that must notice,
 # and the arguments of mock.patch.object.
 MUTANTS = (
@@ -1569,13 +1586,13 @@
             lambda node, _: node.config.majority,
         ),
     ),
-    ("name an id too early", "forms_with_slow_starters", _ANSWERS_AT_ONCE),
-    ("write too early", "called_while_loading", _ANSWERS_AT_ONCE),
-    ("vote too early", "votes_while_loading", _ANSWERS_AT_ONCE),
+    ("name an id too early", "forms_with_slow_starters", _WITHOUT_LOAD_CHECK),
+    ("write too early", "called_while_loading", _WITHOUT_LOAD_CHECK),
+    ("vote too early", "votes_while_loading", _WITHOUT_LOAD_CHECK),
     (
         "end writes with their callers",
         "caller_gone_in_append",
-        (quorum.Node, "_to_its_end", _with_its_caller),
+        (quorum.Node, "_to_its_end", _run_until_cancelled),
     ),
     (
         "as many voters as seeds",
