--- a/features/growth.feature
+++ b/features/growth.feature
@@ -1,7 +1,7 @@
-Feature: Routes, a log that forms itself, and retry budgets
+Feature: Route tables, the bootstrap of the log, and retry budgets
 
   Scenario Outline: A table of routes with <fault> is refused
-    Then the table with <fault> is refused with what to do
+    Then the table with <fault> is refused with an error message
 
     Examples:
       | fault           |
@@ -19,8 +19,8 @@
   Scenario: The longest prefix of the host selects the route
     Then the longest prefix selects the route
 
-  Scenario: Who gave orders to engines is known after a snapshot
-    Then who gave orders outlives a snapshot
+  Scenario: A snapshot keeps which instances gave orders to engines
+    Then a snapshot keeps which instances gave orders
 
   Scenario: A split follows its weights
     Then a split follows its weights
@@ -57,11 +57,11 @@
       | reads_are_the_newest     |
       | late_hand_over           |
 
-  Scenario: A lead once won is not lost to a candidate that wins nothing
+  Scenario: A new leader is not deposed by a candidate that wins no election
     When the scenario won_leads_last of the log runs
     Then no promise is broken
 
-  Scenario: A candidate that has voted since it stood stands no more
+  Scenario: A candidate that has voted for another gives up its election
     When the scenario slow_votes_end_stands of the log runs
     Then no promise is broken
 
@@ -91,8 +91,8 @@
       | lost_datacentre           |
     Then no promise is broken
 
-  Scenario: Repeats over all daemons keep to one budget
-    Then repeats keep to the budget
+  Scenario: Resends over all daemons stay within one budget
+    Then resends stay within the budget
 
   Scenario: Every guard of the log that is switched off is noticed
     When each guard of the log is switched off
--- a/features/steps/growth.py
+++ b/features/steps/growth.py
@@ -1,4 +1,4 @@
-"""Steps of routes, the forming of the log, and budgets."""
+"""Steps of route tables, the bootstrap of the log, and retry budgets."""
 
 import behave
 import hypothesis
@@ -6,7 +6,7 @@
 from features.support import growth
 
 
-@behave.then("the table with {fault} is refused with what to do")
+@behave.then("the table with {fault} is refused with an error message")
 def table_refused(context, fault: str) -> None:
     assert growth.is_refused(fault)
 
@@ -17,7 +17,7 @@
     assert not faults, faults
 
 
-@behave.then("who gave orders outlives a snapshot")
+@behave.then("a snapshot keeps which instances gave orders")
 def check_order_holders_restored(context) -> None:
     faults = growth.check_order_holders_restored()
     assert not faults, faults
@@ -58,7 +58,7 @@
     ]
 
 
-@behave.then("repeats keep to the budget")
+@behave.then("resends stay within the budget")
 def budgets(context) -> None:
     faults = growth.check_resend_budgets()
     assert not faults, faults[:3]
