--- a/features/steps/digests.py
+++ b/features/steps/digests.py
@@ -1,4 +1,4 @@
-"""Steps of what a leader spreads."""
+"""Steps of the digest that a leader sends."""
 
 import multiprocessing
 
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -1,4 +1,4 @@
-"""Steps of large fleets."""
+"""Steps of large deployments."""
 
 import multiprocessing
 
--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -1,4 +1,4 @@
-"""What a leader spreads of daemons and targets, in pieces."""
+"""Tests of the digest of daemons and targets that a leader sends in parts."""
 
 import asyncio
 import contextlib
@@ -13,14 +13,14 @@
 from features.support import growth
 
 TARGETS = 3_000
-# 5 Mbit/s; all of 3,000 targets take 0.6 s.
+# 5 Mbit/s, at which a digest of 3,000 targets takes 0.6 s.
 LINK_BYTES_PER_S = 625_000
 LEASE = control.LeaseTiming(2.0, 0.3, call_s=0.6)
 MOST_CHANGES = 3
 
 
 class _ManyTargets(targets.InstanceList):
-    """A list of thousands of targets."""
+    """An instance list of 3,000 targets."""
 
     async def read(self) -> tuple[targets.Instance, ...]:
         return tuple(
@@ -35,9 +35,10 @@
 
 
 async def many_targets_over_small_links() -> list[str]:
-    """Entries keep their leases, and all targets, over a new leader.
+    """Entries keep their leases and all targets when the leader changes.
 
-    Links carry 5 Mbit/s, and a heartbeat waits 0.6 s for its answer.
+    A new leader sends all targets to every daemon. In a single reply, at
+    5 Mbit/s, that takes at least the time-out of a heartbeat, 0.6 s.
     """
     replicas = await growth._form_replicas()
     faults: list[str] = []
@@ -60,7 +61,7 @@
             await asyncio.sleep(0.1)
             faults += _lacking(sessions)
         faults += [
-            f"{session.daemon.id} has no lease"
+            f"{session.daemon.id} without a lease"
             for session in sessions
             if not session.fresh()
         ]
@@ -69,13 +70,14 @@
 
 
 def _lacking(sessions: list[control.Session]) -> list[str]:
-    """Return who does not know all targets."""
+    """Return a fault if a session does not know all targets."""
     known = [len(session.digest.target_by_id) for session in sessions]
     return [] if set(known) == {TARGETS} else [f"targets known: {known}"]
 
 
-# What a leader learns: a target comes, changes or goes, a daemon comes or
-# goes, the daemon that follows gets an answer, or another one leads.
+# Events at a leader: a target is set or removed, a daemon is set or removed,
+# the following daemon gets a reply, or another leader is elected. Each has
+# the number of the target or daemon, and its flag "leaving".
 STEPS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(
@@ -89,7 +91,10 @@
 
 
 def digests_agree(steps: list[tuple[str, int, bool]]) -> None:
-    """Follow a leader in pieces of few changes, over several leaders."""
+    """Compare the digest of a follower with its leader after an event history.
+
+    The leader changes now and then, and replies hold few changes each.
+    """
     with unittest.mock.patch.object(_digest, "MOST_CHANGES", MOST_CHANGES):
         _follow(steps)
 
@@ -119,7 +124,10 @@
 
 
 def _answer(log: control.DigestLog, follower: control.Digest) -> bool:
-    """Give one answer; no target that both know may be missing after it."""
+    """Send one reply; return whether more remains.
+
+    A target known to both sides must still be known to the follower.
+    """
     before = set(follower.target_by_id)
     delta = log.delta(follower.term, follower.version)
     changes = delta.daemons + delta.targets
@@ -132,7 +140,7 @@
 
 
 def _taken_over(log: control.DigestLog, term: int) -> control.DigestLog:
-    """Return the log of the next leader, which knows the same targets."""
+    """Return the digest log of the next leader, with the same targets."""
     following = control.DigestLog(term)
     for info in log.target_by_id.values():
         following.put_target(info)
@@ -150,7 +158,7 @@
 
 
 def random_digests(count: int) -> list[str]:
-    """Try random histories; return the first that fails."""
+    """Try random histories; return the fault of the one that fails."""
     settings = hypothesis.settings(
         max_examples=count, derandomize=True, database=None, deadline=None
     )
@@ -162,11 +170,12 @@
 
 
 def _all_at_once(log: control.DigestLog, *_: object) -> int:
-    """Answer with all that changed, as a mutant does."""
+    """Send all changes in one reply: the replacement in a mutant."""
     return log.version
 
 
-# Each switches a guard off: its name, its check, what it patches.
+# Each mutant switches off a guard: its name, the check that must notice, and
+# the arguments of mock.patch.object.
 MUTANTS = (
     (
         "tell all targets in one answer",
@@ -187,7 +196,7 @@
 
 
 def _hasty(digest: control.Digest, delta) -> None:
-    """Drop what a former leader knew at once, as a mutant does."""
+    """Drop a former leader's targets at once: the replacement in a mutant."""
     if delta.full:
         digest.target_by_id.clear()
     _APPLY(digest, delta)
@@ -197,7 +206,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a check with its guard switched off."""
+    """Run the check of a mutant with its guard switched off."""
     from features.support import ledger
 
     _, check, guard = MUTANTS[number]
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -1,8 +1,8 @@
-"""Hundreds of entries before dozens of engines, in virtual time.
+"""Tests of large deployments: hundreds of entries, dozens of engines.
 
-Replicas, sessions and the entries' side of places are real, and so are
-their time-outs and pauses; processor time is not played. Engines are the
-oracles of the ledger's tests.
+They run in virtual time. Replicas, sessions and placement clients are real,
+with their real time-outs and pauses, but processor time is not simulated.
+Engines are the oracles of ledger.py.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 
 LEASE = control.LeaseTiming(2.0, 0.3, call_s=0.6, listed_s=1.3)
 ADAPTERS = 2_000
-# Popularity of adapters falls with their rank to this power.
+# Exponent of the Zipf distribution of requests over adapters.
 SKEW = 1.2
 OBJECTIVE_S = 1.0
 PATIENCE_S = 3.0
 HOPE_S = 1.5
-# A place that comes later than this leaves too little of the objective.
+# A later placement leaves too little of OBJECTIVE_S.
 LATE_S = 0.5
 WORK_S = 0.9
 SETTLE_S = 8.0
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """How large a deployment is, and what it is asked for."""
+    """The size of a deployment and its rate of requests."""
 
     entries: int
     engines: int
@@ -55,7 +55,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asked:
-    """One request: when it came, how long it waited, how that ended."""
+    """The outcome of a request.
+
+    Args:
+        at_s: when it arrived.
+        waited_s: how long it waited for a placement.
+        ended: "placed", "absent" or the code of an error.
+    """
 
     at_s: float
     waited_s: float
@@ -63,12 +69,12 @@
 
     @property
     def served(self) -> bool:
-        """Whether it was given a place in time."""
+        """Whether the request was placed in time."""
         return self.ended == "placed" and self.waited_s <= LATE_S
 
 
 class _List(targets.InstanceList):
-    """The list of all engines, which never lags."""
+    """An instance list of all engines that is always up to date."""
 
     def __init__(self, instances: tuple[targets.Instance, ...]) -> None:
         self._instances = instances
@@ -78,7 +84,7 @@
 
 
 class _Entry(control.Bystander):
-    """The session and the places of one entry."""
+    """The session and the placement client of one entry."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
         self.address = f"10.1.{number // 250}.{number % 250}:7000"
@@ -120,7 +126,7 @@
 
 
 class Fleet(growth.Deployed):
-    """A whole deployment; an async context manager."""
+    """Replicas, entries and engines; an async context manager."""
 
     def __init__(self, size: Size, seed: int = 1) -> None:
         super().__init__(5, seed)
@@ -158,7 +164,7 @@
         return self.engine_by_name[instance.id]
 
     async def ask(self, info: control.TargetInfo) -> targets.AdapterReport:
-        """Return what an engine says of itself."""
+        """Return an engine's report."""
         return await self.engine_by_name[info.id].report()
 
     async def __aenter__(self) -> "Fleet":
@@ -179,7 +185,7 @@
         await self.stop_all()
 
     async def traffic(self, for_s: float) -> None:
-        """Ask for places at the deployment's rate, for so long."""
+        """Generate Poisson traffic at the deployment's rate for a time."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + for_s
         while loop.time() < ends_at:
@@ -190,7 +196,7 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _one(self) -> None:
-        """One request, from its arrival to the end of its run."""
+        """Run one request from its arrival to its end; record the result."""
         entry = self.rng.choice(self.entries)
         (rank,) = self.rng.choices(range(ADAPTERS), self._weights)
         self._number += 1
@@ -240,19 +246,19 @@
         return "absent" if absent else "placed"
 
     async def go_dark(self, address: str) -> None:
-        """Let a replica lose its power: calls to it hang."""
+        """Cut a replica's power: calls to it hang instead of failing."""
         self.network.isolate(address)
         await self.stop(address)
 
     async def come_back(self, address: str) -> None:
-        """Start a replica that lost its power."""
+        """Reconnect and start a replica that lost its power."""
         self.network.cuts = {
             pair for pair in self.network.cuts if address not in pair
         }
         await self.start(address)
 
     def by_second(self, since_s: float) -> list[str]:
-        """Return what callers got, a line a second."""
+        """Return counts of the outcomes of requests, one line per second."""
         rows: dict[int, collections.Counter[str]] = {}
         for asked in self.asked:
             second = math.floor(asked.at_s - since_s)
@@ -264,16 +270,17 @@
         ]
 
     def lost(self, since_s: float, until_s: float) -> tuple[int, int]:
-        """Return how many of a span were not placed in time, of how many."""
+        """Count the requests of a period: not placed in time, and all."""
         own = [a for a in self.asked if since_s <= a.at_s < until_s]
         return sum(not asked.served for asked in own), len(own)
 
 
 async def _told_after(size: Size, seed: int = 1) -> float:
-    """Return how long the last entry took to tell the next leader.
+    """Return when the last entry reported its requests to a new leader.
 
-    The leader goes dark: calls to it hang, as without power. The time
-    counts from the moment at which another leads.
+    The old leader loses power, so that calls to it hang. The time in seconds
+    counts from when another replica leads; it is infinite if an entry has
+    not reported one lease later.
     """
     async with Fleet(size, seed) as fleet:
         await asyncio.sleep(SETTLE_S)
@@ -300,7 +307,7 @@
     address: str,
     told_at: dict[tuple[str, str], float],
 ) -> None:
-    """Note when each daemon first tells a replica what it runs."""
+    """Record when each daemon first reports its requests to a replica."""
     take_uses = placer.take_uses
 
     def take(boot: str, uses) -> None:
@@ -314,24 +321,27 @@
 async def _told_in_time(size: Size, seeds: range) -> list[str]:
     took_s = [await _told_after(size, seed) for seed in seeds]
     return [
-        f"seed {seed}: the last entry told after {each_s:.2f} s"
+        f"seed {seed}: the last entry reported after {each_s:.2f} s"
         for seed, each_s in zip(seeds, took_s)
         if each_s > _placer.USES_TOLD_S
     ]
 
 
 async def told_in_time_small() -> list[str]:
-    """All entries tell a new holder before it counts on their word."""
+    """All entries report to a new leader before it assumes that they have.
+
+    After USES_TOLD_S it counts only the running requests reported to it.
+    """
     return await _told_in_time(SMALL, range(16, 22))
 
 
 async def told_in_time_large() -> list[str]:
-    """The same with hundreds of entries, which beat less often."""
+    """The same with hundreds of entries, which send heartbeats less often."""
     return await _told_in_time(LARGE, range(1, 2))
 
 
 async def held_until_one_leads() -> list[str]:
-    """Who beats while nobody leads is answered when somebody does."""
+    """A heartbeat sent while there is no leader gets the next one's reply."""
     async with Fleet(SMALL) as fleet:
         await asyncio.sleep(SETTLE_S)
         lost = (await fleet.leader()).member.address
@@ -343,10 +353,10 @@
         try:
             await late.session._beat()
         except wire.ServingError as error:
-            return [f"It was refused: {error.message}"]
+            return [f"The heartbeat was refused: {error.message}"]
         took_s = asyncio.get_running_loop().time() - began_at
         if took_s >= LEASE.call_s:
-            return [f"The first answer was lost, the next took {took_s:.2f}."]
+            return [f"The first reply was lost, the next took {took_s:.2f} s."]
         return []
 
 
@@ -356,7 +366,8 @@
     "held_until_one_leads": held_until_one_leads,
 }
 
-# Each switches a guard off: its name, its scenario, what it patches.
+# Each mutant switches off a guard: its name, the scenario that must notice,
+# and the arguments of mock.patch.object.
 MUTANTS = (
     (
         "send callers to a leader that is silent",
@@ -381,7 +392,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run the scenario of a mutant with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
     with ledger.switched_off(guard):
         return run_scenario(scenario)
