--- a/features/steps/digests.py
+++ b/features/steps/digests.py
@@ -12,12 +12,12 @@
 
 @behave.when("a leader of 3000 targets is lost")
 def lose_leader(context) -> None:
-    context.faults = ledger.run(digests.many_targets_over_small_links())
+    context.faults = ledger.run(digests.check_many_targets_over_small_links())
 
 
 @behave.when("{count:d} random histories of targets are followed in pieces")
 def follow(context, count: int) -> None:
-    context.faults = digests.random_digests(count)
+    context.faults = digests.check_random_histories(count)
 
 
 @behave.when("each guard of the pieces is switched off")
--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -34,7 +34,7 @@
         )
 
 
-async def many_targets_over_small_links() -> list[str]:
+async def check_many_targets_over_small_links() -> list[str]:
     """Entries keep their leases and all targets when the leader changes.
 
     A new leader sends all targets to every daemon. In a single reply, at
@@ -54,12 +54,12 @@
             replicas.network.bytes_per_s[address] = LINK_BYTES_PER_S
             await stack.enter_async_context(session)
         await asyncio.sleep(2.0)
-        faults += _lacking(sessions)
+        faults += _check_targets_known(sessions)
         lost = (await replicas.leader()).member.address
         await replicas.stop(lost)
         for _ in range(60):
             await asyncio.sleep(0.1)
-            faults += _lacking(sessions)
+            faults += _check_targets_known(sessions)
         faults += [
             f"{session.daemon.id} without a lease"
             for session in sessions
@@ -69,7 +69,7 @@
     return faults[:3]
 
 
-def _lacking(sessions: list[control.Session]) -> list[str]:
+def _check_targets_known(sessions: list[control.Session]) -> list[str]:
     """Return a fault if a session does not know all targets."""
     known = [len(session.digest.target_by_id) for session in sessions]
     return [] if set(known) == {TARGETS} else [f"targets known: {known}"]
@@ -96,34 +96,34 @@
     The leader changes now and then, and replies hold few changes each.
     """
     with unittest.mock.patch.object(_digest, "MOST_CHANGES", MOST_CHANGES):
-        _follow(steps)
+        _run_history(steps)
 
 
-def _follow(steps: list[tuple[str, int, bool]]) -> None:
+def _run_history(steps: list[tuple[str, int, bool]]) -> None:
     term = 1
     log, follower = control.DigestLog(term), control.Digest()
-    for what, number, flag in steps:
-        if what == "put":
+    for event, number, flag in steps:
+        if event == "put":
             log.put_target(_target(number, flag))
-        elif what == "drop":
+        elif event == "drop":
             log.drop_target(f"t{number}")
-        elif what == "daemon":
+        elif event == "daemon":
             log.put_daemon(_daemon(number, flag))
-        elif what == "gone":
+        elif event == "gone":
             log.drop_daemon(f"d{number}#1")
-        elif what == "leader":
+        elif event == "leader":
             term += 1
-            log = _taken_over(log, term)
+            log = _log_of_next_leader(log, term)
         else:
-            _answer(log, follower)
-    while _answer(log, follower):
+            _send_delta(log, follower)
+    while _send_delta(log, follower):
         pass
     assert follower.daemon_by_boot == log.daemon_by_boot, steps
     if log.target_by_id:
         assert follower.target_by_id == log.target_by_id, steps
 
 
-def _answer(log: control.DigestLog, follower: control.Digest) -> bool:
+def _send_delta(log: control.DigestLog, follower: control.Digest) -> bool:
     """Send one reply; return whether more remains.
 
     A target known to both sides must still be known to the follower.
@@ -139,7 +139,9 @@
     return delta.more
 
 
-def _taken_over(log: control.DigestLog, term: int) -> control.DigestLog:
+def _log_of_next_leader(
+    log: control.DigestLog, term: int
+) -> control.DigestLog:
     """Return the digest log of the next leader, with the same targets."""
     following = control.DigestLog(term)
     for info in log.target_by_id.values():
@@ -157,7 +159,7 @@
     )
 
 
-def random_digests(count: int) -> list[str]:
+def check_random_histories(count: int) -> list[str]:
     """Try random histories; return the fault of the one that fails."""
     settings = hypothesis.settings(
         max_examples=count, derandomize=True, database=None, deadline=None
@@ -169,7 +171,7 @@
     return []
 
 
-def _all_at_once(log: control.DigestLog, *_: object) -> int:
+def _return_newest_version(log: control.DigestLog, *_: object) -> int:
     """Send all changes in one reply: the replacement in a mutant."""
     return log.version
 
@@ -180,7 +182,7 @@
     (
         "tell all targets in one answer",
         "links",
-        (control.DigestLog, "_until", _all_at_once),
+        (control.DigestLog, "_until", _return_newest_version),
     ),
     (
         "leave the rest for the next heartbeat",
@@ -190,12 +192,12 @@
     (
         "forget the former targets with the first piece",
         "random",
-        (_digest.Digest, "apply", lambda *args: _hasty(*args)),
+        (_digest.Digest, "apply", lambda *args: _drop_former_targets(*args)),
     ),
 )
 
 
-def _hasty(digest: control.Digest, delta) -> None:
+def _drop_former_targets(digest: control.Digest, delta) -> None:
     """Drop a former leader's targets at once: the replacement in a mutant."""
     if delta.full:
         digest.target_by_id.clear()
@@ -212,5 +214,5 @@
     _, check, guard = MUTANTS[number]
     with ledger.switched_off(guard):
         if check == "random":
-            return random_digests(200)
-        return ledger.run(many_targets_over_small_links())
+            return check_random_histories(200)
+        return ledger.run(check_many_targets_over_small_links())
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -27,13 +27,13 @@
 LEASE = control.LeaseTiming(2.0, 0.3, call_s=0.6, listed_s=1.3)
 ADAPTERS = 2_000
 # Exponent of the Zipf distribution of requests over adapters.
-SKEW = 1.2
+ZIPF_EXPONENT = 1.2
 OBJECTIVE_S = 1.0
 PATIENCE_S = 3.0
 HOPE_S = 1.5
 # A later placement leaves too little of OBJECTIVE_S.
-LATE_S = 0.5
-WORK_S = 0.9
+MAX_WAIT_S = 0.5
+RUN_S = 0.9
 SETTLE_S = 8.0
 TRAFFIC_S = 2.0
 POOL = ledger.POOL
@@ -54,26 +54,26 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class RequestOutcome:
     """The outcome of a request.
 
     Args:
-        at_s: when it arrived.
+        arrived_at_s: when it arrived.
         waited_s: how long it waited for a placement.
         ended: "placed", "absent" or the code of an error.
     """
 
-    at_s: float
+    arrived_at_s: float
     waited_s: float
     ended: str
 
     @property
-    def served(self) -> bool:
+    def placed_in_time(self) -> bool:
         """Whether the request was placed in time."""
-        return self.ended == "placed" and self.waited_s <= LATE_S
+        return self.ended == "placed" and self.waited_s <= MAX_WAIT_S
 
 
-class _List(targets.InstanceList):
+class _EngineList(targets.InstanceList):
     """An instance list of all engines that is always up to date."""
 
     def __init__(self, instances: tuple[targets.Instance, ...]) -> None:
@@ -145,19 +145,19 @@
             )
             for number in range(size.engines)
         }
-        self.instances = _List(
+        self.instances = _EngineList(
             tuple(
                 targets.Instance(name, POOL, f"10.9.0.{n}:1", "abcde"[n % 5])
                 for n, name in enumerate(self.engine_by_name)
             )
         )
         self.entries: list[_Entry] = []
-        self.asked: list[Asked] = []
+        self.outcomes: list[RequestOutcome] = []
         self._stack = contextlib.AsyncExitStack()
         self._number = 0
         self._tasks: set[asyncio.Task] = set()
         ranks = range(1, ADAPTERS + 1)
-        self._weights = [rank**-SKEW for rank in ranks]
+        self._weights = [rank**-ZIPF_EXPONENT for rank in ranks]
 
     def engine_of(self, instance: targets.Instance) -> ledger.EngineOracle:
         """Return the engine of a listed target."""
@@ -191,17 +191,17 @@
         while loop.time() < ends_at:
             gap_s = self.rng.expovariate(self.size.requests_per_s)
             await asyncio.sleep(gap_s)
-            task = asyncio.create_task(self._one())
+            task = asyncio.create_task(self._run_request())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _one(self) -> None:
+    async def _run_request(self) -> None:
         """Run one request from its arrival to its end; record the result."""
         entry = self.rng.choice(self.entries)
         (rank,) = self.rng.choices(range(ADAPTERS), self._weights)
         self._number += 1
         loop = asyncio.get_running_loop()
-        came_at = loop.time()
+        arrived_at = loop.time()
         ask = placement.PlaceRequest(
             entry.session.boot,
             f"q{self._number}",
@@ -222,12 +222,12 @@
             place = await entry.places.take(ask)
         except wire.ServingError as error:
             ended = error.code
-        waited_s = loop.time() - came_at
+        waited_s = loop.time() - arrived_at
         if ended == "placed":
-            ended = await self._run(entry, ask, place)
-        self.asked.append(Asked(came_at, waited_s, ended))
+            ended = await self._run_on_engine(entry, ask, place)
+        self.outcomes.append(RequestOutcome(arrived_at, waited_s, ended))
 
-    async def _run(
+    async def _run_on_engine(
         self,
         entry: _Entry,
         ask: placement.PlaceRequest,
@@ -237,7 +237,7 @@
         outcome = placement.UseOutcome.DONE
         if engine.begin(ask.adapter):
             entry.places.begun(ask.request, place.target, 0.2)
-            await asyncio.sleep(WORK_S)
+            await asyncio.sleep(RUN_S)
             engine.end(ask.adapter)
         else:
             outcome = placement.UseOutcome.ABSENT
@@ -245,37 +245,37 @@
         absent = outcome is placement.UseOutcome.ABSENT
         return "absent" if absent else "placed"
 
-    async def go_dark(self, address: str) -> None:
+    async def cut_power(self, address: str) -> None:
         """Cut a replica's power: calls to it hang instead of failing."""
         self.network.isolate(address)
         await self.stop(address)
 
-    async def come_back(self, address: str) -> None:
+    async def restore_power(self, address: str) -> None:
         """Reconnect and start a replica that lost its power."""
         self.network.cuts = {
             pair for pair in self.network.cuts if address not in pair
         }
         await self.start(address)
 
-    def by_second(self, since_s: float) -> list[str]:
+    def outcomes_by_second(self, since_s: float) -> list[str]:
         """Return counts of the outcomes of requests, one line per second."""
         rows: dict[int, collections.Counter[str]] = {}
-        for asked in self.asked:
-            second = math.floor(asked.at_s - since_s)
+        for outcome in self.outcomes:
+            second = math.floor(outcome.arrived_at_s - since_s)
             row = rows.setdefault(second, collections.Counter())
-            row["in time" if asked.served else asked.ended] += 1
+            row["in time" if outcome.placed_in_time else outcome.ended] += 1
         return [
             f"{second:4} " + " ".join(f"{k}={v}" for k, v in row.items())
             for second, row in sorted(rows.items())
         ]
 
-    def lost(self, since_s: float, until_s: float) -> tuple[int, int]:
+    def count_late(self, since_s: float, until_s: float) -> tuple[int, int]:
         """Count the requests of a period: not placed in time, and all."""
-        own = [a for a in self.asked if since_s <= a.at_s < until_s]
-        return sum(not asked.served for asked in own), len(own)
+        own = [a for a in self.outcomes if since_s <= a.arrived_at_s < until_s]
+        return sum(not outcome.placed_in_time for outcome in own), len(own)
 
 
-async def _told_after(size: Size, seed: int = 1) -> float:
+async def _measure_report_delay(size: Size, seed: int = 1) -> float:
     """Return when the last entry reported its requests to a new leader.
 
     The old leader loses power, so that calls to it hang. The time in seconds
@@ -288,38 +288,38 @@
         await asyncio.sleep(TRAFFIC_S + fleet.rng.uniform(0.0, 1.0))
         loop = asyncio.get_running_loop()
         lost = (await fleet.leader()).member.address
-        told_at: dict[tuple[str, str], float] = {}
+        reported_at: dict[tuple[str, str], float] = {}
         for address, replica in fleet.replica_by_address.items():
-            _note_uses(replica.placer, address, told_at)
-        await fleet.go_dark(lost)
+            _record_first_reports(replica.placer, address, reported_at)
+        await fleet.cut_power(lost)
         follower = (await fleet.leader()).member.address
         leads_at = loop.time()
         await asyncio.sleep(LEASE.lease_s)
         await asking
-        own = [at for (by, _), at in told_at.items() if by == follower]
+        own = [at for (by, _), at in reported_at.items() if by == follower]
         if len(own) < size.entries:
             return float("inf")
         return max(own) - leads_at
 
 
-def _note_uses(
+def _record_first_reports(
     placer: placement.Placer,
     address: str,
-    told_at: dict[tuple[str, str], float],
+    reported_at: dict[tuple[str, str], float],
 ) -> None:
     """Record when each daemon first reports its requests to a replica."""
     take_uses = placer.take_uses
 
     def take(boot: str, uses) -> None:
         now = asyncio.get_running_loop().time()
-        told_at.setdefault((address, boot), now)
+        reported_at.setdefault((address, boot), now)
         take_uses(boot, uses)
 
     placer.take_uses = take
 
 
-async def _told_in_time(size: Size, seeds: range) -> list[str]:
-    took_s = [await _told_after(size, seed) for seed in seeds]
+async def _check_report_delay(size: Size, seeds: range) -> list[str]:
+    took_s = [await _measure_report_delay(size, seed) for seed in seeds]
     return [
         f"seed {seed}: the last entry reported after {each_s:.2f} s"
         for seed, each_s in zip(seeds, took_s)
@@ -332,12 +332,12 @@
 
     After USES_TOLD_S it counts only the running requests reported to it.
     """
-    return await _told_in_time(SMALL, range(16, 22))
+    return await _check_report_delay(SMALL, range(16, 22))
 
 
 async def told_in_time_large() -> list[str]:
     """The same with hundreds of entries, which send heartbeats less often."""
-    return await _told_in_time(LARGE, range(1, 2))
+    return await _check_report_delay(LARGE, range(1, 2))
 
 
 async def held_until_one_leads() -> list[str]:
@@ -346,7 +346,7 @@
         await asyncio.sleep(SETTLE_S)
         lost = (await fleet.leader()).member.address
         late = _Entry(fleet, SMALL.entries)
-        await fleet.go_dark(lost)
+        await fleet.cut_power(lost)
         late.session.leader.found(next(iter(fleet.node_by_address)))
         await asyncio.sleep(0.35)
         began_at = asyncio.get_running_loop().time()
