--- a/features/digests.feature
+++ b/features/digests.feature
@@ -1,12 +1,12 @@
-Feature: What a leader spreads of daemons and targets
-  A new leader tells each daemon of all of them; thousands fill a small link
-  for longer than a daemon waits for an answer.
+Feature: Digests of daemons and targets that a leader sends
+  A new leader sends all of them to each daemon. Thousands of targets take
+  longer over a slow link than the time-out of a heartbeat.
 
   Scenario: Thousands of targets reach entries behind small links
     When a leader of 3000 targets is lost
     Then no promise is broken
 
-  Scenario: Who follows in pieces knows what the leader knows
+  Scenario: A daemon that gets a digest in pieces knows what the leader knows
     When 300 random histories of targets are followed in pieces
     Then no promise is broken
 
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -1,5 +1,5 @@
-Feature: Hundreds of entries
-  Replicas, sessions and places as they are, in virtual time.
+Feature: Large deployments
+  Real replicas, sessions and placement clients run in virtual time.
 
   Scenario Outline: <scenario>: a new leader is found by all
     When the fleet goes through <scenario>
--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -1,4 +1,4 @@
-"""Tests of the digest of daemons and targets that a leader sends in parts."""
+"""Tests of the digest of daemons and targets that a leader sends in pieces."""
 
 import asyncio
 import contextlib
