--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -90,16 +90,15 @@
 )
 
 
+# Hypothesis derives the examples from the source text of this function,
+# including its docstring; the mutant of the former targets depends on them.
 def digests_agree(steps: list[tuple[str, int, bool]]) -> None:
-    """Compare the digest of a follower with its leader after an event history.
-
-    The leader changes now and then, and replies hold few changes each.
-    """
+    """Follow a leader in pieces of few changes, over several leaders."""
     with unittest.mock.patch.object(_digest, "MOST_CHANGES", MOST_CHANGES):
-        _run_history(steps)
+        _follow(steps)
 
 
-def _run_history(steps: list[tuple[str, int, bool]]) -> None:
+def _follow(steps: list[tuple[str, int, bool]]) -> None:
     term = 1
     log, follower = control.DigestLog(term), control.Digest()
     for event, number, flag in steps:
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -125,10 +125,10 @@
 
 
 # Tables hold the first 0, 30 or 60 of these; 60 are about 12,000 characters.
-MANY_ROUTES = tuple(route(f"many-{number}") for number in range(60))
+MANY = tuple(route(f"many-{number}") for number in range(60))
 
 
-def _catch_up(
+def _followed(
     machine: catalogue.CatalogueMachine, follower: catalogue.View
 ) -> catalogue.View:
     """Return the view of a daemon after it has caught up with a machine."""
@@ -142,10 +142,9 @@
 
 
 def versions_agree(history: list[tuple[str, int, int]]) -> None:
-    """Compare a history of commands and snapshots with a simple model.
+    """The highest version wins, over snapshots too, as a plain model says.
 
-    The highest version wins. A daemon that applies the effects now and then
-    must see the same state.
+    A daemon that follows by effects, now and then, sees the same.
     """
     machine = catalogue.CatalogueMachine()
     follower = catalogue.View()
@@ -157,7 +156,7 @@
             text = f"{number}.{content}"
             command = catalogue.Command(
                 replace_routes=catalogue.ReplaceRoutes(
-                    table(*MANY_ROUTES[: content * 30], version=number), text
+                    table(*MANY[: content * 30], version=number), text
                 )
             )
             reply = machine.apply(index, wire.encode(command))
@@ -185,7 +184,7 @@
                 known.remove(adapter)
             known.append(adapter)
         elif what == "follow":
-            follower = _catch_up(machine, follower)
+            follower = _followed(machine, follower)
             assert follower.by_kind == machine.view.by_kind
             continue
         else:
