--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -83,7 +83,7 @@
         return self._instances
 
 
-class _Entry(control.Bystander):
+class _Entry(control.PassiveParticipant):
     """The session and the placement client of one entry."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
@@ -106,7 +106,7 @@
             server, control.HEARTBEAT, placement.PLACE, placement.RELEASE
         )
         survey = routing.Survey(fleet.ask, fleet.rng)
-        self.places = routing.Places(
+        self.places = routing.PlacementClient(
             self.session, transport, wire.LoopClock(), survey
         )
         self.session.attach(self)
@@ -125,7 +125,7 @@
         await self.places.__aexit__()
 
 
-class Fleet(growth.Deployed):
+class Fleet(growth.DeployedReplicas):
     """Replicas, entries and engines; an async context manager."""
 
     def __init__(self, size: Size, seed: int = 1) -> None:
@@ -351,7 +351,7 @@
         await asyncio.sleep(0.35)
         began_at = asyncio.get_running_loop().time()
         try:
-            await late.session._beat()
+            await late.session._send_heartbeat()
         except wire.ServingError as error:
             return [f"The heartbeat was refused: {error.message}"]
         took_s = asyncio.get_running_loop().time() - began_at
@@ -374,7 +374,7 @@
         "told_in_time_small",
         (
             quorum.Node,
-            "hears_leader",
+            "has_leader_contact",
             property(lambda node: node.leader is not None),
         ),
     ),
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -107,7 +107,7 @@
     )
     index = catalogue.RouteIndex(table(route(splits=splits)))
     (only,) = index.table.routes
-    names = [index.pool_of(only, f"q{n}").name for n in range(2000)]
+    names = [index.choose_pool(only, f"q{n}").name for n in range(2000)]
     share = names.count("llm") / len(names)
     return [] if 0.07 < share < 0.13 else [f"llm got {share}"]
 
@@ -524,10 +524,10 @@
     """A leader that is cut off can't confirm its leadership for a read."""
     replicas = await _form_replicas()
     leader = await replicas.leader()
-    await leader.confirm_lead(1.0)
+    await leader.confirm_leadership(1.0)
     replicas.network.isolate(leader.member.address)
     try:
-        await leader.confirm_lead(1.0)
+        await leader.confirm_leadership(1.0)
     except wire.NotLeaderError:
         return []
     return ["A leader without a majority confirmed its leadership."]
@@ -544,7 +544,7 @@
 async def _check_budget_history(rng: random.Random) -> list[str]:
     ratio, slack, count = 0.14, 36.0, rng.randrange(1, 10)
     daemons = [
-        routing.RepeatBudgets(ratio, slack, lambda: count)
+        routing.ResendBudgets(ratio, slack, lambda: count)
         for _ in range(count)
     ]
     requests: list[float] = []
@@ -595,7 +595,7 @@
     )
     leader = control.Leader(transport, replicas.addresses)
     session = control.Session(info, leader, transport, lease)
-    session.attach(control.Bystander())
+    session.attach(control.PassiveParticipant())
     relay = control.Relay(session, transport)
     relay.serve(server, control.HEARTBEAT)
     return session
@@ -924,7 +924,7 @@
     async def run_election(transfer: bool, unanimous: bool = False) -> None:
         elections.append(transfer)
 
-    successor._stand = run_election
+    successor._run_election = run_election
     await successor.on_lead(
         quorum_messages.LeadRequest(successor.member.id, successor.term)
     )
@@ -973,15 +973,15 @@
     for node in nodes:
         # As if no leader had been heard for long.
         node._become_follower(None)
-        node._heard_at -= 10.0
-        node._stands_after = float("-inf")
+        node._last_contact_at -= 10.0
+        node._no_election_before = float("-inf")
     first, second = rng.sample(nodes, 2)
-    heard_at = second._heard_at
-    elections = [asyncio.create_task(first._stand(False))]
+    heard_at = second._last_contact_at
+    elections = [asyncio.create_task(first._run_election(False))]
     await asyncio.sleep(rng.uniform(0.0, apart_s))
     # A replica that has voted meanwhile waits, as in its election loop.
-    if second._heard_at == heard_at:
-        elections.append(asyncio.create_task(second._stand(False)))
+    if second._last_contact_at == heard_at:
+        elections.append(asyncio.create_task(second._run_election(False)))
     leaders: set[tuple[str, int]] = set()
     ends_at = asyncio.get_running_loop().time() + MAX_ELECTION_S
     while asyncio.get_running_loop().time() < ends_at:
@@ -1022,7 +1022,7 @@
     """Daemons draw different numbers although uuid4 returns the same."""
     same = unittest.mock.patch.object(uuid, "uuid4", lambda: uuid.UUID(int=7))
     with same:
-        draws = {wire.own_luck(f"r{n}").random() for n in range(20)}
+        draws = {wire.make_rng(f"r{n}").random() for n in range(20)}
         names = {wire.fresh_token("r1") for _ in range(20)}
         ids = set()
         for _ in range(5):
@@ -1048,7 +1048,7 @@
         await asyncio.sleep(0.004)
         return pre
 
-    node._ask_votes = always_split
+    node._request_votes = always_split
     await asyncio.sleep(2.0)
     before = node.term
     await asyncio.sleep(6.0)
@@ -1070,7 +1070,7 @@
     rng: random.Random,
 ) -> daemon.Replica:
     """Return a replica on a network in memory; it is not started."""
-    with unittest.mock.patch.object(wire, "own_luck", lambda _: rng):
+    with unittest.mock.patch.object(wire, "make_rng", lambda _: rng):
         replica = daemon.Replica(
             settings,
             standins.MemoryTransport(network, settings.address),
@@ -1105,7 +1105,7 @@
     )
 
 
-class Deployed(Replicas):
+class DeployedReplicas(Replicas):
     """Replicas as a deployment runs them; the first three are seeds.
 
     Args:
@@ -1135,7 +1135,7 @@
             address,
             self.datacentre_by_address[address],
             self.addresses[:3],
-            borne_losses=self.losses,
+            tolerated_failures=self.losses,
         )
         replica = make_replica(
             settings,
@@ -1245,9 +1245,9 @@
 
 async def _run_with_seeds(
     work: collections.abc.Callable[
-        [Deployed], collections.abc.Awaitable[list[str]]
+        [DeployedReplicas], collections.abc.Awaitable[list[str]]
     ],
-    make: collections.abc.Callable[[int], Deployed],
+    make: collections.abc.Callable[[int], DeployedReplicas],
     seeds: range,
 ) -> list[str]:
     """Run a scenario with several seeds; return faults with their seed."""
@@ -1264,15 +1264,15 @@
     return faults
 
 
-def _five_or_six(seed: int) -> Deployed:
+def _five_or_six(seed: int) -> DeployedReplicas:
     """Return five replicas, or six, of which one is not a voter."""
-    return Deployed(5 + seed % 2, seed)
+    return DeployedReplicas(5 + seed % 2, seed)
 
 
 async def disks_lost_in_a_power_cut() -> list[str]:
     """The tolerated number of disks is lost while all others lose power."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await replicas.commit_version(1)
         lost = replicas.sample_voters(await replicas.leader())
@@ -1292,7 +1292,7 @@
 async def voters_away() -> list[str]:
     """The log is available while the tolerated number is without power."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await replicas.commit_version(1)
         for address in replicas.sample_voters(await replicas.leader()):
@@ -1315,13 +1315,13 @@
     faults = []
     for losses, count in ((2, 5), (2, 7), (1, 5), (3, 9)):
         for seed in range(3):
-            found = await _check_growth(Deployed(count, seed, losses))
+            found = await _check_growth(DeployedReplicas(count, seed, losses))
             where = f"{losses} losses, {count} replicas, seed {seed}"
             faults += [f"{where}: {fault}" for fault in found]
     return faults
 
 
-async def _check_growth(replicas: Deployed) -> list[str]:
+async def _check_growth(replicas: DeployedReplicas) -> list[str]:
     """Start all replicas and check each configuration that takes effect."""
     faults: list[str] = []
     await replicas.start_all()
@@ -1353,7 +1353,7 @@
     The former voter returns as a learner, and replaces the next one.
     """
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await asyncio.sleep(2.0)
         leader = await replicas.leader()
@@ -1378,13 +1378,15 @@
         faults += [f"then {wrong}"] if wrong else []
         return faults + await replicas.check_leader(1, 0.1)
 
-    return await _run_with_seeds(work, lambda n: Deployed(6, n), range(6))
+    return await _run_with_seeds(
+        work, lambda n: DeployedReplicas(6, n), range(6)
+    )
 
 
 async def disks_lost_during_repair() -> list[str]:
     """Another disk is lost while the replica of the first one recovers."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await replicas.commit_version(1)
         lost = replicas.sample_voters(await replicas.leader())
@@ -1405,7 +1407,7 @@
 async def disk_lost_twice() -> list[str]:
     """A learner that loses its disk again still becomes a voter."""
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         leader = await replicas.leader()
         others = replicas.voters(leader) - {leader.member.address}
@@ -1426,7 +1428,9 @@
         wrong = await replicas.wait_for_voters(set(replicas.addresses), 8.0)
         return faults + ([wrong] if wrong else [])
 
-    return await _run_with_seeds(work, lambda n: Deployed(5, n), range(5))
+    return await _run_with_seeds(
+        work, lambda n: DeployedReplicas(5, n), range(5)
+    )
 
 
 async def lost_datacentre() -> list[str]:
@@ -1436,7 +1440,7 @@
     too.
     """
 
-    async def work(replicas: Deployed) -> list[str]:
+    async def work(replicas: DeployedReplicas) -> list[str]:
         wanted = 2 * replicas.losses + 1
         faults = await replicas.wait_for_voter_count(wanted)
         await asyncio.sleep(6.0)
@@ -1456,10 +1460,10 @@
     crowded = ("da", "da", "da", "da", "db", "db", "dc", "dc")
     in_two = ("da", "da", "db", "da", "dc")
     faults = await _run_with_seeds(
-        work, lambda n: Deployed(8, n, 2, crowded), range(5)
+        work, lambda n: DeployedReplicas(8, n, 2, crowded), range(5)
     )
     return faults + await _run_with_seeds(
-        work, lambda n: Deployed(5, n, 1, in_two), range(5)
+        work, lambda n: DeployedReplicas(5, n, 1, in_two), range(5)
     )
 
 
@@ -1536,7 +1540,7 @@
     return await work(*args)
 
 
-_IS_SILENT = quorum.Node._is_silent
+_IS_SILENT = quorum.Node._is_unresponsive
 _WITHOUT_LOAD_CHECK = (quorum.Node, "_check_loaded", lambda _: None)
 # Each mutant switches off a guard: its name, the scenario that must notice,
 # and the arguments of mock.patch.object.
@@ -1549,7 +1553,7 @@
     (
         "lose the leases that wait for a fetch",
         "huge_tables_in_a_row",
-        (control_session, "MOST_WAITING", 0),
+        (control_session, "MAX_PENDING_RENEWALS", 0),
     ),
     (
         "wait for a silent fetch",
@@ -1559,22 +1563,22 @@
     (
         "send tables as text",
         "many_routes_over_small_links",
-        (catalogue.Effect, "packed", lambda effect: effect),
+        (catalogue.Effect, "compressed", lambda effect: effect),
     ),
     (
         "send versions that are void",
         "many_routes_over_small_links",
-        (catalogue.CatalogueMachine, "_drop_void", lambda *_: None),
+        (catalogue.CatalogueMachine, "_drop_superseded", lambda *_: None),
     ),
     (
         "tell two candidates that they would win",
         "won_leads_last",
-        (quorum.Node, "_takes_turn", lambda *_: True),
+        (quorum.Node, "_reserve_pre_vote", lambda *_: True),
     ),
     (
         "stand on after a vote for another",
         "slow_votes_end_stands",
-        (quorum.Node, "_still_stands", lambda *_: True),
+        (quorum.Node, "_election_still_valid", lambda *_: True),
     ),
     (
         "lead early by a majority",
@@ -1591,7 +1595,7 @@
     (
         "end writes with their callers",
         "caller_gone_in_append",
-        (quorum.Node, "_to_its_end", _run_until_cancelled),
+        (quorum.Node, "_run_to_completion", _run_until_cancelled),
     ),
     (
         "as many voters as seeds",
@@ -1612,14 +1616,14 @@
     (
         "never ask again who was let go",
         "spare_takes_a_place",
-        (quorum.Node, "_is_left_out", lambda _: False),
+        (quorum.Node, "_may_have_been_removed", lambda _: False),
     ),
     (
         "wait for a learner for ever",
         "disk_lost_twice",
         (
             quorum.Node,
-            "_is_silent",
+            "_is_unresponsive",
             lambda node, member: member not in node.config.learners
             and _IS_SILENT(node, member),
         ),
@@ -1627,7 +1631,7 @@
     (
         "let one data centre hold the majority",
         "lost_datacentre",
-        (quorum.Node, "_crowded_voter", lambda *_: None),
+        (quorum.Node, "_overrepresented_voter", lambda *_: None),
     ),
 )
 
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -395,7 +395,7 @@
     An own order of the term before may still be on its way.
     """
     faults = []
-    async with Holders(5, engines=1, order_quiet_s=LEASE_S) as holders:
+    async with Holders(5, engines=1, initial_order_delay_s=LEASE_S) as holders:
         first = await holders.leader()
         await holders.ask_until_served(8.0)
         first.replica.node._become_follower(None)
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -74,17 +74,17 @@
         self.model_at = 0.0
         self.fetching = False
         self._on_disk = False
-        self.born_ms: int | None = None
+        self.start_time_ms: int | None = None
         self._start = 0
         self._note()
 
-    def restart(self, born_ms: int | None) -> None:
+    def restart(self, start_time_ms: int | None) -> None:
         """Start anew under the same name, empty.
 
         Orders that were left unanswered may still be carried out.
         """
         self._start += 1
-        self.born_ms = born_ms
+        self.start_time_ms = start_time_ms
         self.sequence = 0
         self._fence = 0
         for held in (self.ready, self.pending, self.running):
@@ -236,9 +236,11 @@
             self._note()
 
     def _note(self) -> None:
-        def held(adapters: dict[str, int]) -> tuple[targets.HeldAdapter, ...]:
+        def held(
+            adapters: dict[str, int],
+        ) -> tuple[targets.ReportedAdapter, ...]:
             return tuple(
-                targets.HeldAdapter(MODEL, name, version)
+                targets.ReportedAdapter(MODEL, name, version)
                 for name, version in adapters.items()
             )
 
@@ -250,7 +252,7 @@
             self.sequence,
             running=sum(self.running.values()),
             at_hand=(MODEL,) if self._on_disk else (),
-            born_ms=self.born_ms,
+            start_time_ms=self.start_time_ms,
         )
         try:
             now = asyncio.get_running_loop().time()
@@ -307,7 +309,7 @@
             self.leader,
             lambda: self.machine.view,
             self.engine_of,
-            placement.HomePolicy(),
+            placement.CopyAffinityPolicy(),
             observe.Metrics(),
             tenure=placement.Tenure(0.0, 0.0, quiet_s),
         )
@@ -664,16 +666,16 @@
     async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
         await asyncio.sleep(2.0)
         decided = 0
-        pump = ledger.placer._pump
+        pump = ledger.placer._schedule
 
         def counted() -> None:
             nonlocal decided
             decided += 1
             pump()
-            ledger.placer._pump_took_s = 0.02
+            ledger.placer._schedule_took_s = 0.02
 
-        ledger.placer._pump = counted
-        ledger.placer._pump_took_s = 0.02
+        ledger.placer._schedule = counted
+        ledger.placer._schedule_took_s = 0.02
         tasks = [
             asyncio.create_task(ledger.request(f"a{n}", 0.1, 1.0))
             for n in range(200)
@@ -730,7 +732,7 @@
     (
         "decide at once, always",
         "storm_of_waiters",
-        (_placer, "PUMP_SPACING", 0.0),
+        (_placer, "SCHEDULE_SPACING", 0.0),
     ),
     (
         "begin on an old version",
@@ -756,7 +758,11 @@
     (
         "load all models at once",
         "models_in_turn",
-        (placement.StoreTurns, "turn", lambda _: contextlib.AsyncExitStack()),
+        (
+            placement.StoreLoadLock,
+            "turn",
+            lambda _: contextlib.AsyncExitStack(),
+        ),
     ),
     (
         "say nothing of what is expected",
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -45,8 +45,8 @@
         self.read_list()
         return self
 
-    def _take_word(self, target: str, born_ms: int) -> None:
-        self.fleet.started(target, born_ms)
+    def _take_word(self, target: str, start_time_ms: int) -> None:
+        self.fleet.started(target, start_time_ms)
         self._publish()
 
     def read_list(self) -> None:
@@ -54,8 +54,8 @@
         now = asyncio.get_running_loop().time()
         self.fleet.update(
             [
-                _instance(targets.Incarnation(name, born_ms))
-                for name, born_ms in self.listed_by_name.items()
+                _instance(targets.Incarnation(name, start_time_ms))
+                for name, start_time_ms in self.listed_by_name.items()
             ],
             now,
         )
@@ -76,7 +76,7 @@
         )
 
     @property
-    def holdings(self) -> list[placement.Holding]:
+    def holdings(self) -> list[placement.EngineRecord]:
         """What is believed of the engines."""
         orders = self.placer._orders_by_target.values()
         return [each.holding for each in orders]
@@ -216,7 +216,7 @@
         await asyncio.gather(*tasks)
         for name, engine in world.engine_by_id.items():
             engine.luck = ledger.Luck()
-            world.listed_by_name[name] = engine.born_ms
+            world.listed_by_name[name] = engine.start_time_ms
         await asyncio.sleep(14.0)
         world.read_list()
         await asyncio.sleep(BACK_S)
@@ -249,9 +249,9 @@
     if not tells:
         engine.restart(None)
         return
-    engine.restart(engine.born_ms + LATER_MS)
+    engine.restart(engine.start_time_ms + LATER_MS)
     if rng.random() < 0.5:
-        world.listed_by_name[name] = engine.born_ms
+        world.listed_by_name[name] = engine.start_time_ms
 
 
 def run_scenario(name: str) -> list[str]:
@@ -318,9 +318,9 @@
 
 
 @hypothesis.given(NAMES, strategies.none() | strategies.integers(0))
-def texts_say_all(name: str, born_ms: int | None) -> None:
+def texts_say_all(name: str, start_time_ms: int | None) -> None:
     """The text of an incarnation names that one and no other."""
-    start = targets.Incarnation(name, born_ms)
+    start = targets.Incarnation(name, start_time_ms)
     assert targets.Incarnation.of(str(start)) == start, start
 
 
@@ -348,7 +348,7 @@
     (
         "see no start in fewer orders",
         "told_by_neither",
-        (placement.Holding, "shows_new_start", lambda *_: False),
+        (placement.EngineRecord, "shows_new_start", lambda *_: False),
     ),
     (
         "believe the list, however old",
