--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -16,7 +16,7 @@
 # 5 Mbit/s, at which a digest of 3,000 targets takes 0.6 s.
 LINK_BYTES_PER_S = 625_000
 LEASE = control.LeaseTiming(2.0, 0.3, call_s=0.6)
-MAX_CHANGES = 3
+MOST_CHANGES = 3
 
 
 class _ManyTargets(targets.InstanceList):
@@ -94,7 +94,7 @@
 # including its docstring; the mutant of the former targets depends on them.
 def digests_agree(steps: list[tuple[str, int, bool]]) -> None:
     """Follow a leader in pieces of few changes, over several leaders."""
-    with unittest.mock.patch.object(_digest, "MAX_CHANGES", MAX_CHANGES):
+    with unittest.mock.patch.object(_digest, "MOST_CHANGES", MOST_CHANGES):
         _follow(steps)
 
 
@@ -131,7 +131,7 @@
     delta = log.delta(follower.term, follower.version)
     changes = delta.daemons + delta.targets
     changes += delta.gone_daemons + delta.gone_targets
-    assert len(changes) <= MAX_CHANGES, delta
+    assert len(changes) <= MOST_CHANGES, delta
     follower.apply(delta)
     kept = before & set(log.target_by_id)
     assert kept <= set(follower.target_by_id), (kept, delta)
@@ -211,7 +211,7 @@
     from features.support import ledger
 
     _, check, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         if check == "random":
             return check_random_histories(200)
         return ledger.run(check_many_targets_over_small_links())
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -1639,7 +1639,7 @@
 def run_mutant(number: int) -> list[str]:
     """Run the scenario of a mutant with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         try:
             return run_scenario(scenario)
         except (AssertionError, wire.ServingError) as error:
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -28,7 +28,10 @@
     """A ledger whose engines are listed, with when they started."""
 
     def __init__(
-        self, seed: int, luck: ledger.Luck = ledger.Luck(), engines: int = 1
+        self,
+        seed: int,
+        luck: ledger.FaultRates = ledger.FaultRates(),
+        engines: int = 1,
     ) -> None:
         super().__init__(seed, luck, engines)
         self.fleet = control.Fleet()
@@ -197,7 +200,7 @@
 async def random_starts(seed: int, tells: bool) -> list[str]:
     """Random requests while engines start again under their names."""
     rng = random.Random(seed)
-    luck = ledger.Luck(rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0)
+    luck = ledger.FaultRates(rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0)
     async with StartLedger(seed, luck, 2) as world:
         if not tells:
             _hush(world)
@@ -215,7 +218,7 @@
             await asyncio.sleep(rng.uniform(0.0, 0.25))
         await asyncio.gather(*tasks)
         for name, engine in world.engine_by_id.items():
-            engine.luck = ledger.Luck()
+            engine.luck = ledger.FaultRates()
             world.listed_by_name[name] = engine.start_time_ms
         await asyncio.sleep(14.0)
         world.read_list()
@@ -366,7 +369,7 @@
 def run_mutant(number: int) -> list[str]:
     """Run a scenario with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         try:
             if scenario == "random":
                 return [f for seed in range(16) for f in run_random(seed)]
