--- a/features/steps/growth.py
+++ b/features/steps/growth.py
@@ -1,4 +1,4 @@
-"""Steps of routes, the forming of the log, and budgets."""
+"""Steps of route tables, the bootstrap of the log, and retry budgets."""
 
 import behave
 import hypothesis
@@ -6,26 +6,26 @@
 from features.support import growth
 
 
-@behave.then("the table with {fault} is refused with what to do")
+@behave.then("the table with {fault} is refused with an error message")
 def table_refused(context, fault: str) -> None:
-    assert growth.refused(fault)
+    assert growth.is_refused(fault)
 
 
 @behave.then("the longest prefix selects the route")
-def longest_prefix(context) -> None:
-    faults = growth.longest_prefix()
+def check_longest_prefix(context) -> None:
+    faults = growth.check_longest_prefix()
     assert not faults, faults
 
 
-@behave.then("who gave orders outlives a snapshot")
-def holders_outlive_snapshots(context) -> None:
-    faults = growth.holders_outlive_snapshots()
+@behave.then("a snapshot keeps which instances gave orders")
+def check_order_holders_restored(context) -> None:
+    faults = growth.check_order_holders_restored()
     assert not faults, faults
 
 
 @behave.then("a split follows its weights")
-def split_by_weight(context) -> None:
-    faults = growth.split_by_weight()
+def check_split_weights(context) -> None:
+    faults = growth.check_split_weights()
     assert not faults, faults
 
 
@@ -58,9 +58,9 @@
     ]
 
 
-@behave.then("repeats keep to the budget")
+@behave.then("resends stay within the budget")
 def budgets(context) -> None:
-    faults = growth.budgets_keep()
+    faults = growth.check_resend_budgets()
     assert not faults, faults[:3]
 
 
--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -1,4 +1,4 @@
-"""What a leader spreads of daemons and targets, in pieces."""
+"""Tests of the digest of daemons and targets that a leader sends in pieces."""
 
 import asyncio
 import contextlib
@@ -13,14 +13,14 @@
 from features.support import growth
 
 TARGETS = 3_000
-# 5 Mbit/s; all of 3,000 targets take 0.6 s.
+# 5 Mbit/s, at which a digest of 3,000 targets takes 0.6 s.
 LINK_BYTES_PER_S = 625_000
 LEASE = control.LeaseTiming(2.0, 0.3, call_s=0.6)
 MOST_CHANGES = 3
 
 
 class _ManyTargets(targets.InstanceList):
-    """A list of thousands of targets."""
+    """An instance list of 3,000 targets."""
 
     async def read(self) -> tuple[targets.Instance, ...]:
         return tuple(
@@ -34,29 +34,34 @@
         )
 
 
-async def many_targets_over_small_links() -> list[str]:
-    """Entries keep their leases, and all targets, over a new leader.
+async def check_many_targets_over_small_links() -> list[str]:
+    """Entries keep their leases and all targets when the leader changes.
 
-    Links carry 5 Mbit/s, and a heartbeat waits 0.6 s for its answer.
+    A new leader sends all targets to every daemon. In a single reply, at
+    5 Mbit/s, that takes at least the time-out of a heartbeat, 0.6 s.
     """
-    replicas = await growth._formed()
+    replicas = await growth._form_replicas()
     faults: list[str] = []
     async with contextlib.AsyncExitStack() as stack:
-        await growth._coordinate(replicas, LEASE, stack, _ManyTargets())
-        sessions = [growth._entry(replicas, n, LEASE) for n in (1, 2, 3)]
+        await growth._start_coordinators(
+            replicas, LEASE, stack, _ManyTargets()
+        )
+        sessions = [
+            growth._make_session(replicas, n, LEASE) for n in (1, 2, 3)
+        ]
         for session in sessions:
             address = session.daemon.address
             replicas.network.bytes_per_s[address] = LINK_BYTES_PER_S
             await stack.enter_async_context(session)
         await asyncio.sleep(2.0)
-        faults += _lacking(sessions)
+        faults += _check_targets_known(sessions)
         lost = (await replicas.leader()).member.address
         await replicas.stop(lost)
         for _ in range(60):
             await asyncio.sleep(0.1)
-            faults += _lacking(sessions)
+            faults += _check_targets_known(sessions)
         faults += [
-            f"{session.daemon.id} has no lease"
+            f"{session.daemon.id} without a lease"
             for session in sessions
             if not session.fresh()
         ]
@@ -64,14 +69,15 @@
     return faults[:3]
 
 
-def _lacking(sessions: list[control.Session]) -> list[str]:
-    """Return who does not know all targets."""
+def _check_targets_known(sessions: list[control.Session]) -> list[str]:
+    """Return a fault if a session does not know all targets."""
     known = [len(session.digest.target_by_id) for session in sessions]
     return [] if set(known) == {TARGETS} else [f"targets known: {known}"]
 
 
-# What a leader learns: a target comes, changes or goes, a daemon comes or
-# goes, the daemon that follows gets an answer, or another one leads.
+# Events at a leader: a target is set or removed, a daemon is set or removed,
+# the following daemon gets a reply, or another leader is elected. Each has
+# the number of the target or daemon, and its flag "leaving".
 STEPS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(
@@ -84,6 +90,8 @@
 )
 
 
+# Hypothesis derives the examples from the source text of this function,
+# including its docstring; the mutant of the former targets depends on them.
 def digests_agree(steps: list[tuple[str, int, bool]]) -> None:
     """Follow a leader in pieces of few changes, over several leaders."""
     with unittest.mock.patch.object(_digest, "MOST_CHANGES", MOST_CHANGES):
@@ -93,29 +101,32 @@
 def _follow(steps: list[tuple[str, int, bool]]) -> None:
     term = 1
     log, follower = control.DigestLog(term), control.Digest()
-    for what, number, flag in steps:
-        if what == "put":
+    for event, number, flag in steps:
+        if event == "put":
             log.put_target(_target(number, flag))
-        elif what == "drop":
+        elif event == "drop":
             log.drop_target(f"t{number}")
-        elif what == "daemon":
+        elif event == "daemon":
             log.put_daemon(_daemon(number, flag))
-        elif what == "gone":
+        elif event == "gone":
             log.drop_daemon(f"d{number}#1")
-        elif what == "leader":
+        elif event == "leader":
             term += 1
-            log = _taken_over(log, term)
+            log = _log_of_next_leader(log, term)
         else:
-            _answer(log, follower)
-    while _answer(log, follower):
+            _send_delta(log, follower)
+    while _send_delta(log, follower):
         pass
     assert follower.daemon_by_boot == log.daemon_by_boot, steps
     if log.target_by_id:
         assert follower.target_by_id == log.target_by_id, steps
 
 
-def _answer(log: control.DigestLog, follower: control.Digest) -> bool:
-    """Give one answer; no target that both know may be missing after it."""
+def _send_delta(log: control.DigestLog, follower: control.Digest) -> bool:
+    """Send one reply; return whether more remains.
+
+    A target known to both sides must still be known to the follower.
+    """
     before = set(follower.target_by_id)
     delta = log.delta(follower.term, follower.version)
     changes = delta.daemons + delta.targets
@@ -127,8 +138,10 @@
     return delta.more
 
 
-def _taken_over(log: control.DigestLog, term: int) -> control.DigestLog:
-    """Return the log of the next leader, which knows the same targets."""
+def _log_of_next_leader(
+    log: control.DigestLog, term: int
+) -> control.DigestLog:
+    """Return the digest log of the next leader, with the same targets."""
     following = control.DigestLog(term)
     for info in log.target_by_id.values():
         following.put_target(info)
@@ -145,8 +158,8 @@
     )
 
 
-def random_digests(count: int) -> list[str]:
-    """Try random histories; return the first that fails."""
+def check_random_histories(count: int) -> list[str]:
+    """Try random histories; return the fault of the one that fails."""
     settings = hypothesis.settings(
         max_examples=count, derandomize=True, database=None, deadline=None
     )
@@ -157,17 +170,18 @@
     return []
 
 
-def _all_at_once(log: control.DigestLog, *_: object) -> int:
-    """Answer with all that changed, as a mutant does."""
+def _return_newest_version(log: control.DigestLog, *_: object) -> int:
+    """Send all changes in one reply: the replacement in a mutant."""
     return log.version
 
 
-# Each switches a guard off: its name, its check, what it patches.
+# Each mutant switches off a guard: its name, the check that must notice, and
+# the arguments of mock.patch.object.
 MUTANTS = (
     (
         "tell all targets in one answer",
         "links",
-        (control.DigestLog, "_until", _all_at_once),
+        (control.DigestLog, "_until", _return_newest_version),
     ),
     (
         "leave the rest for the next heartbeat",
@@ -177,13 +191,13 @@
     (
         "forget the former targets with the first piece",
         "random",
-        (_digest.Digest, "apply", lambda *args: _hasty(*args)),
+        (_digest.Digest, "apply", lambda *args: _drop_former_targets(*args)),
     ),
 )
 
 
-def _hasty(digest: control.Digest, delta) -> None:
-    """Drop what a former leader knew at once, as a mutant does."""
+def _drop_former_targets(digest: control.Digest, delta) -> None:
+    """Drop a former leader's targets at once: the replacement in a mutant."""
     if delta.full:
         digest.target_by_id.clear()
     _APPLY(digest, delta)
@@ -193,11 +207,11 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a check with its guard switched off."""
+    """Run the check of a mutant with its guard switched off."""
     from features.support import ledger
 
     _, check, guard = MUTANTS[number]
     with ledger.disabled_guard(guard):
         if check == "random":
-            return random_digests(200)
-        return ledger.run(many_targets_over_small_links())
+            return check_random_histories(200)
+        return ledger.run(check_many_targets_over_small_links())
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -1,8 +1,8 @@
-"""Hundreds of entries before dozens of engines, in virtual time.
+"""Tests of large deployments: hundreds of entries, dozens of engines.
 
-Replicas, sessions and the entries' side of places are real, and so are
-their time-outs and pauses; processor time is not played. Engines are the
-oracles of the ledger's tests.
+They run in virtual time. Replicas, sessions and placement clients are real,
+with their real time-outs and pauses, but processor time is not simulated.
+Engines are the oracles of ledger.py.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
 
 LEASE = control.LeaseTiming(2.0, 0.3, call_s=0.6, listed_s=1.3)
 ADAPTERS = 2_000
-# Popularity of adapters falls with their rank to this power.
-SKEW = 1.2
+# Exponent of the Zipf distribution of requests over adapters.
+ZIPF_EXPONENT = 1.2
 OBJECTIVE_S = 1.0
 PATIENCE_S = 3.0
 HOPE_S = 1.5
-# A place that comes later than this leaves too little of the objective.
-LATE_S = 0.5
-WORK_S = 0.9
+# A later placement leaves too little of OBJECTIVE_S.
+MAX_WAIT_S = 0.5
+RUN_S = 0.9
 SETTLE_S = 8.0
 TRAFFIC_S = 2.0
 POOL = ledger.POOL
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """How large a deployment is, and what it is asked for."""
+    """The size of a deployment and its rate of requests."""
 
     entries: int
     engines: int
@@ -54,21 +54,27 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
-    """One request: when it came, how long it waited, how that ended."""
+class RequestOutcome:
+    """The outcome of a request.
 
-    at_s: float
+    Args:
+        arrived_at_s: when it arrived.
+        waited_s: how long it waited for a placement.
+        ended: "placed", "absent" or the code of an error.
+    """
+
+    arrived_at_s: float
     waited_s: float
     ended: str
 
     @property
-    def served(self) -> bool:
-        """Whether it was given a place in time."""
-        return self.ended == "placed" and self.waited_s <= LATE_S
+    def placed_in_time(self) -> bool:
+        """Whether the request was placed in time."""
+        return self.ended == "placed" and self.waited_s <= MAX_WAIT_S
 
 
-class _List(targets.InstanceList):
-    """The list of all engines, which never lags."""
+class _EngineList(targets.InstanceList):
+    """An instance list of all engines that is always up to date."""
 
     def __init__(self, instances: tuple[targets.Instance, ...]) -> None:
         self._instances = instances
@@ -78,7 +84,7 @@
 
 
 class _Entry(control.PassiveParticipant):
-    """The session and the places of one entry."""
+    """The session and the placement client of one entry."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
         self.address = f"10.1.{number // 250}.{number % 250}:7000"
@@ -120,7 +126,7 @@
 
 
 class Fleet(growth.DeployedReplicas):
-    """A whole deployment; an async context manager."""
+    """Replicas, entries and engines; an async context manager."""
 
     def __init__(self, size: Size, seed: int = 1) -> None:
         super().__init__(5, seed)
@@ -139,26 +145,26 @@
             )
             for number in range(size.engines)
         }
-        self.instances = _List(
+        self.instances = _EngineList(
             tuple(
                 targets.Instance(name, POOL, f"10.9.0.{n}:1", "abcde"[n % 5])
                 for n, name in enumerate(self.engine_by_name)
             )
         )
         self.entries: list[_Entry] = []
-        self.asked: list[Asked] = []
+        self.outcomes: list[RequestOutcome] = []
         self._stack = contextlib.AsyncExitStack()
         self._number = 0
         self._tasks: set[asyncio.Task] = set()
         ranks = range(1, ADAPTERS + 1)
-        self._weights = [rank**-SKEW for rank in ranks]
+        self._weights = [rank**-ZIPF_EXPONENT for rank in ranks]
 
     def engine_of(self, instance: targets.Instance) -> ledger.FakeEngine:
         """Return the engine of a listed target."""
         return self.engine_by_name[instance.id]
 
     async def ask(self, info: control.TargetInfo) -> targets.AdapterReport:
-        """Return what an engine says of itself."""
+        """Return an engine's report."""
         return await self.engine_by_name[info.id].report()
 
     async def __aenter__(self) -> "Fleet":
@@ -179,23 +185,23 @@
         await self.stop_all()
 
     async def traffic(self, for_s: float) -> None:
-        """Ask for places at the deployment's rate, for so long."""
+        """Generate Poisson traffic at the deployment's rate for a time."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + for_s
         while loop.time() < ends_at:
             gap_s = self.rng.expovariate(self.size.requests_per_s)
             await asyncio.sleep(gap_s)
-            task = asyncio.create_task(self._one())
+            task = asyncio.create_task(self._run_request())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _one(self) -> None:
-        """One request, from its arrival to the end of its run."""
+    async def _run_request(self) -> None:
+        """Run one request from its arrival to its end; record the result."""
         entry = self.rng.choice(self.entries)
         (rank,) = self.rng.choices(range(ADAPTERS), self._weights)
         self._number += 1
         loop = asyncio.get_running_loop()
-        came_at = loop.time()
+        arrived_at = loop.time()
         ask = placement.PlaceRequest(
             entry.session.boot,
             f"q{self._number}",
@@ -216,12 +222,12 @@
             place = await entry.places.take(ask)
         except wire.ServingError as error:
             ended = error.code
-        waited_s = loop.time() - came_at
+        waited_s = loop.time() - arrived_at
         if ended == "placed":
-            ended = await self._run(entry, ask, place)
-        self.asked.append(Asked(came_at, waited_s, ended))
+            ended = await self._run_on_engine(entry, ask, place)
+        self.outcomes.append(RequestOutcome(arrived_at, waited_s, ended))
 
-    async def _run(
+    async def _run_on_engine(
         self,
         entry: _Entry,
         ask: placement.PlaceRequest,
@@ -231,7 +237,7 @@
         outcome = placement.UseOutcome.DONE
         if engine.begin(ask.adapter):
             entry.places.begun(ask.request, place.target, 0.2)
-            await asyncio.sleep(WORK_S)
+            await asyncio.sleep(RUN_S)
             engine.end(ask.adapter)
         else:
             outcome = placement.UseOutcome.ABSENT
@@ -239,41 +245,42 @@
         absent = outcome is placement.UseOutcome.ABSENT
         return "absent" if absent else "placed"
 
-    async def go_dark(self, address: str) -> None:
-        """Let a replica lose its power: calls to it hang."""
+    async def cut_power(self, address: str) -> None:
+        """Cut a replica's power: calls to it hang instead of failing."""
         self.network.isolate(address)
         await self.stop(address)
 
-    async def come_back(self, address: str) -> None:
-        """Start a replica that lost its power."""
+    async def restore_power(self, address: str) -> None:
+        """Reconnect and start a replica that lost its power."""
         self.network.cuts = {
             pair for pair in self.network.cuts if address not in pair
         }
         await self.start(address)
 
-    def by_second(self, since_s: float) -> list[str]:
-        """Return what callers got, a line a second."""
+    def outcomes_by_second(self, since_s: float) -> list[str]:
+        """Return counts of the outcomes of requests, one line per second."""
         rows: dict[int, collections.Counter[str]] = {}
-        for asked in self.asked:
-            second = math.floor(asked.at_s - since_s)
+        for outcome in self.outcomes:
+            second = math.floor(outcome.arrived_at_s - since_s)
             row = rows.setdefault(second, collections.Counter())
-            row["in time" if asked.served else asked.ended] += 1
+            row["in time" if outcome.placed_in_time else outcome.ended] += 1
         return [
             f"{second:4} " + " ".join(f"{k}={v}" for k, v in row.items())
             for second, row in sorted(rows.items())
         ]
 
-    def lost(self, since_s: float, until_s: float) -> tuple[int, int]:
-        """Return how many of a span were not placed in time, of how many."""
-        own = [a for a in self.asked if since_s <= a.at_s < until_s]
-        return sum(not asked.served for asked in own), len(own)
+    def count_late(self, since_s: float, until_s: float) -> tuple[int, int]:
+        """Count the requests of a period: not placed in time, and all."""
+        own = [a for a in self.outcomes if since_s <= a.arrived_at_s < until_s]
+        return sum(not outcome.placed_in_time for outcome in own), len(own)
 
 
-async def _told_after(size: Size, seed: int = 1) -> float:
-    """Return how long the last entry took to tell the next leader.
+async def _measure_report_delay(size: Size, seed: int = 1) -> float:
+    """Return when the last entry reported its requests to a new leader.
 
-    The leader goes dark: calls to it hang, as without power. The time
-    counts from the moment at which another leads.
+    The old leader loses power, so that calls to it hang. The time in seconds
+    counts from when another replica leads; it is infinite if an entry has
+    not reported one lease later.
     """
     async with Fleet(size, seed) as fleet:
         await asyncio.sleep(SETTLE_S)
@@ -281,72 +288,75 @@
         await asyncio.sleep(TRAFFIC_S + fleet.rng.uniform(0.0, 1.0))
         loop = asyncio.get_running_loop()
         lost = (await fleet.leader()).member.address
-        told_at: dict[tuple[str, str], float] = {}
+        reported_at: dict[tuple[str, str], float] = {}
         for address, replica in fleet.replica_by_address.items():
-            _note_uses(replica.placer, address, told_at)
-        await fleet.go_dark(lost)
+            _record_first_reports(replica.placer, address, reported_at)
+        await fleet.cut_power(lost)
         follower = (await fleet.leader()).member.address
         leads_at = loop.time()
         await asyncio.sleep(LEASE.lease_s)
         await asking
-        own = [at for (by, _), at in told_at.items() if by == follower]
+        own = [at for (by, _), at in reported_at.items() if by == follower]
         if len(own) < size.entries:
             return float("inf")
         return max(own) - leads_at
 
 
-def _note_uses(
+def _record_first_reports(
     placer: placement.Placer,
     address: str,
-    told_at: dict[tuple[str, str], float],
+    reported_at: dict[tuple[str, str], float],
 ) -> None:
-    """Note when each daemon first tells a replica what it runs."""
+    """Record when each daemon first reports its requests to a replica."""
     take_uses = placer.take_uses
 
     def take(boot: str, uses) -> None:
         now = asyncio.get_running_loop().time()
-        told_at.setdefault((address, boot), now)
+        reported_at.setdefault((address, boot), now)
         take_uses(boot, uses)
 
     placer.take_uses = take
 
 
-async def _told_in_time(size: Size, seeds: range) -> list[str]:
-    took_s = [await _told_after(size, seed) for seed in seeds]
+async def _check_report_delay(size: Size, seeds: range) -> list[str]:
+    took_s = [await _measure_report_delay(size, seed) for seed in seeds]
     return [
-        f"seed {seed}: the last entry told after {each_s:.2f} s"
+        f"seed {seed}: the last entry reported after {each_s:.2f} s"
         for seed, each_s in zip(seeds, took_s)
         if each_s > _placer.USES_TOLD_S
     ]
 
 
 async def told_in_time_small() -> list[str]:
-    """All entries tell a new holder before it counts on their word."""
-    return await _told_in_time(SMALL, range(16, 22))
+    """All entries report to a new leader before it assumes that they have.
+
+    After USES_TOLD_S it counts only the running requests reported to it.
+    """
+    return await _check_report_delay(SMALL, range(16, 22))
 
 
 async def told_in_time_large() -> list[str]:
-    """The same with hundreds of entries, which beat less often."""
-    return await _told_in_time(LARGE, range(1, 2))
+    """The same with hundreds of entries, which send heartbeats less often."""
+    return await _check_report_delay(LARGE, range(1, 2))
 
 
 async def held_until_one_leads() -> list[str]:
-    """Who beats while nobody leads is answered when somebody does."""
+    """A heartbeat sent while there is no leader gets the next one's reply."""
     async with Fleet(SMALL) as fleet:
         await asyncio.sleep(SETTLE_S)
         lost = (await fleet.leader()).member.address
         late = _Entry(fleet, SMALL.entries)
-        await fleet.go_dark(lost)
+        await fleet.cut_power(lost)
         late.session.leader.found(next(iter(fleet.node_by_address)))
         await asyncio.sleep(0.35)
         began_at = asyncio.get_running_loop().time()
         try:
             await late.session._send_heartbeat()
         except wire.ServingError as error:
-            return [f"It was refused: {error.message}"]
+            return [f"The heartbeat was refused: {error.message}"]
         took_s = asyncio.get_running_loop().time() - began_at
         if took_s >= LEASE.call_s:
-            return [f"The first answer was lost, the next took {took_s:.2f}."]
+            return [f"The first reply was lost, the next took {took_s:.2f} s."]
         return []
 
 
@@ -356,7 +366,8 @@
     "held_until_one_leads": held_until_one_leads,
 }
 
-# Each switches a guard off: its name, its scenario, what it patches.
+# Each mutant switches off a guard: its name, the scenario that must notice,
+# and the arguments of mock.patch.object.
 MUTANTS = (
     (
         "send callers to a leader that is silent",
@@ -381,7 +392,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run the scenario of a mutant with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
     with ledger.disabled_guard(guard):
         return run_scenario(scenario)
