--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,6 +1,6 @@
 Feature: The holder of an engine's orders
-  Orders get no answer, are carried out late, or their answers are lost.
-  The engine is the oracle: it may never be ordered beyond its room.
+  Orders are not answered or are executed late, or their answers are lost.
+  The fake engine is the oracle: loads must never exceed its adapter slots.
 
   Scenario Outline: <scenario> keeps the ledger true
     When the ledger scenario <scenario> runs
--- a/features/steps/ledger.py
+++ b/features/steps/ledger.py
@@ -1,4 +1,4 @@
-"""Steps of the ledger of orders."""
+"""Steps that test the ledger of orders to engines."""
 
 import multiprocessing
 
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -1,8 +1,9 @@
-"""An engine whose orders get lost, late and doubled, and its ledger.
+"""A real placer before fake engines whose orders are lost or delayed.
 
-The engine is a simple oracle: it knows what it holds and what it was ever
-ordered beyond its room. The holder of the orders and its ledger are real,
-and run in virtual time.
+The fake engine is the test oracle: it knows which adapters it holds and
+records each load that exceeds its adapter slots. The placer, which issues the
+orders and keeps a ledger of them for each engine, is the production code. All
+run in virtual time.
 """
 
 import asyncio
@@ -27,7 +28,7 @@
 STORE_S = 0.25
 COPY_S = 0.025
 MODEL_S = 1.0
-# From the grant to the first of an answer.
+# Time from the grant to the first chunk of the answer.
 FIRST_S = 0.01
 POOL = "sastre-llm"
 Outcome = targets.OrderOutcome
@@ -35,11 +36,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Luck:
-    """How badly things go.
+    """Fault rates of the link to an engine.
 
     Args:
-        late: share of orders that get no answer and are done later.
-        lost: share of orders that are done, their answer lost.
+        late: share of orders that are not answered and are executed later.
+        lost: share of orders that are executed but whose answer is lost.
+        latest_s: longest delay of a late order, in seconds.
     """
 
     late: float = 0.0
@@ -48,7 +50,7 @@
 
 
 class EngineOracle(targets.AdapterEngine):
-    """Holds adapters by order and notes each order beyond its room."""
+    """Executes orders and records each load that exceeds its slots."""
 
     def __init__(
         self, spec: catalogue.EngineSpec, luck: Luck, rng: random.Random
@@ -65,7 +67,7 @@
         self._rng = rng
         self._leaving: set[str] = set()
         self._history: list[tuple[float, targets.AdapterReport]] = []
-        # Orders as they were accepted, also those whose answer was lost.
+        # Time and fence of each accepted order, also if its answer was lost.
         self.accepted: list[tuple[float, int]] = []
         self._tasks: set[asyncio.Task] = set()
         self.reports = 0
@@ -79,9 +81,9 @@
         self._note()
 
     def restart(self, born_ms: int | None) -> None:
-        """Start anew under the same name, empty.
+        """Restart under the same name without adapters or a base model.
 
-        Orders that were left unanswered may still be carried out.
+        Orders that were not answered may still be executed.
         """
         self._start += 1
         self.born_ms = born_ms
@@ -94,7 +96,7 @@
         self.forget_model(on_disk=False)
 
     def forget_model(self, on_disk: bool) -> None:
-        """Begin without the base model."""
+        """Drop the base model and the past reports."""
         self.model_loaded = False
         self._on_disk = on_disk
         self._history.clear()
@@ -131,7 +133,7 @@
     async def _take(self, order, carry_out) -> Outcome:
         await asyncio.sleep(0.001)
         if not order.gate():
-            raise wire.NotSentError("The gate was shut.")
+            raise wire.NotSentError("The order may no longer be sent.")
 
         def carry_out_noted(order: targets.EngineOrder) -> Outcome:
             outcome = carry_out(order)
@@ -145,7 +147,7 @@
             delay_s = self._rng.uniform(2.0, self.luck.latest_s)
             self._later(delay_s, carry_out_noted, order)
             await asyncio.sleep(0.2)
-            raise wire.PeerLostError("No answer came.")
+            raise wire.PeerLostError("The order was not answered.")
         outcome = carry_out_noted(order)
         if luck < self.luck.late + self.luck.lost:
             await asyncio.sleep(0.2)
@@ -185,7 +187,9 @@
             return Outcome.STARTED
         taken = len(set(self.ready) | set(self.pending) | {name})
         if taken > self._spec.adapter_slots:
-            self.faults.append(f"{name} is one too many: {taken}")
+            self.faults.append(
+                f"{name} needs slot {taken} of {self._spec.adapter_slots}"
+            )
         self.sequence += 1
         self.pending[name] = version
         delay_s = COPY_S if name in self._copies else STORE_S
@@ -217,7 +221,7 @@
         return Outcome.HOLDS
 
     def begin(self, name: str) -> bool:
-        """Begin a run; False when the adapter is not there."""
+        """Begin a run; return False if the adapter is not ready."""
         if name not in self.ready or name in self._leaving:
             return False
         self.running[name] = self.running.get(name, 0) + 1
@@ -225,7 +229,7 @@
         return True
 
     def end(self, name: str) -> None:
-        """End a run; an unload that waited for it is then done."""
+        """End a run; the last one completes a pending unload."""
         if not self.running.get(name):
             return
         self.running[name] -= 1
@@ -260,7 +264,7 @@
 
 
 class StandingLeader(placement.Leadership):
-    """A leader that leads until a test says otherwise."""
+    """A leadership whose term and state are set by the test."""
 
     def __init__(self) -> None:
         self.number = 1
@@ -274,11 +278,11 @@
         return self.leads
 
     def refusal(self) -> wire.ServingError:
-        return wire.NotLeaderError("Ask another.")
+        return wire.NotLeaderError("This replica is not the leader.")
 
 
 class Ledger:
-    """A placer before some engines; an async context manager."""
+    """Runs a placer with fake engines; an async context manager."""
 
     def __init__(
         self,
@@ -325,14 +329,14 @@
         self.machine.apply(1, wire.encode(command))
 
     def name_version(self, adapter: str, version: int) -> None:
-        """Name a newer version of an adapter."""
+        """Set the default version of an adapter."""
         self._index += 1
         name = catalogue.NameVersion(MODEL, adapter, version)
         command = catalogue.Command(name_version=name)
         self.machine.apply(self._index, wire.encode(command))
 
     def engine_of(self, instance: targets.Instance) -> EngineOracle:
-        """Return the engine that a start of it belongs to."""
+        """Return the engine of an instance, whichever its incarnation."""
         name = targets.Incarnation.of(instance.id).name
         return self.engine_by_id[name]
 
@@ -351,7 +355,7 @@
         age_s: float = 0.0,
         prompt_tokens: int = 100,
     ) -> placement.PlaceRequest:
-        """Return the next request."""
+        """Return a new placement request."""
         self._number += 1
         return placement.PlaceRequest(
             "entry-1",
@@ -376,7 +380,7 @@
         age_s: float = 0.0,
         prompt_tokens: int = 100,
     ) -> None:
-        """Ask for a place, run there, and give it back."""
+        """Request a place, run there and release it."""
         ask = self.ask(adapter, patience_s, age_s, prompt_tokens)
         try:
             place = await self.placer.on_place(ask)
@@ -405,7 +409,7 @@
         )
 
     def check(self) -> list[str]:
-        """Return what the engines were ordered wrongly."""
+        """Return the faults found by the harness and its engines."""
         return self.faults + [
             f"{name}: {fault}"
             for name, engine in self.engine_by_id.items()
@@ -414,7 +418,10 @@
 
 
 async def random_load(seed: int, luck: Luck) -> list[str]:
-    """Random requests for more adapters than there are slots."""
+    """Request more adapters than there are slots, at random times.
+
+    Once the faults have ended, a request for each adapter must be served.
+    """
     async with Ledger(seed, luck) as ledger:
         await asyncio.sleep(2.0)
         tasks = []
@@ -438,14 +445,18 @@
         )
         faults = ledger.check()
         if ledger.served < served + 12:
-            faults.append(f"After all was well, only {ledger.served} ran.")
+            faults.append(
+                f"only {ledger.served - served} of 12 requests were served "
+                "after the faults ended"
+            )
         return faults
 
 
 async def dropped_load() -> list[str]:
-    """A load still waits for its turn when the ledger is settled anew.
+    """A load that settling removed from the ledger is not sent.
 
-    It is no longer in the ledger then, so it must not be sent.
+    The load is still waiting for the lock of the engine's orders when the
+    ledger is settled.
     """
     async with Ledger(1, Luck(), engines=1, slots=2) as ledger:
         await asyncio.sleep(2.0)
@@ -461,7 +472,7 @@
 
 
 async def no_order_without_lead() -> list[str]:
-    """A holder that lost the lead sends nothing, whatever it planned."""
+    """A placer that lost leadership sends none of its planned orders."""
     async with Ledger(1, Luck(), engines=1) as ledger:
         await asyncio.sleep(2.0)
         (orders,) = ledger.placer._orders_by_target.values()
@@ -474,7 +485,7 @@
 
 
 async def deposed_in_a_load() -> list[str]:
-    """A holder that loses the lead during loads asks no more reports."""
+    """A placer that loses leadership during a load stops polling reports."""
     async with Ledger(1, Luck(), engines=1) as ledger:
         await asyncio.sleep(2.0)
         asking = asyncio.create_task(ledger.request("a1", 0.1))
@@ -485,11 +496,11 @@
         await asyncio.sleep(5.0)
         await asking
         asked = engine.reports - before
-        return [f"{asked} reports"] if asked > 2 else []
+        return [f"{asked} reports were requested"] if asked > 2 else []
 
 
 async def lead_in_doubt() -> list[str]:
-    """A holder that was not sure of its lead for a moment goes on."""
+    """A placer resumes orders after a short loss of confirmed leadership."""
     async with Ledger(1, Luck(), engines=1) as ledger:
         await asyncio.sleep(2.0)
         asking = asyncio.create_task(ledger.request("a1", 0.1))
@@ -501,25 +512,27 @@
         await asyncio.sleep(1.0)
         for number in range(1, 6):
             await ledger.request(f"a{number}", 0.1)
-        return [] if ledger.served >= 5 else [f"{ledger.served} served"]
+        return [] if ledger.served >= 5 else [f"only {ledger.served} served"]
 
 
 async def quiet_new_holder() -> list[str]:
-    """Where engines don't check fences a new holder waits before orders."""
+    """A new leader waits before it orders engines that check no fences."""
     async with Ledger(1, Luck(), engines=1, quiet_s=3.0) as ledger:
         await asyncio.sleep(0.5)
         asking = asyncio.create_task(ledger.request("a1", 0.1, 6.0))
         await asyncio.sleep(2.0)
         engine = ledger.engine_by_id["e0"]
-        faults = ["It ordered at once."] if engine.sequence else []
+        faults = (
+            ["An order was sent within the wait."] if engine.sequence else []
+        )
         await asking
         if not ledger.served:
-            faults.append("It never ordered.")
+            faults.append("The request was not served after the wait.")
         return faults
 
 
 async def taken_over() -> list[str]:
-    """A new holder evicts nothing that an entry has not told it of yet."""
+    """A new leader evicts no adapter whose uses are not reported yet."""
     async with Ledger(1, Luck(), engines=1, slots=2) as ledger:
         await asyncio.sleep(2.0)
         await ledger.request("a1", 0.1)
@@ -537,14 +550,14 @@
         engine = ledger.engine_by_id["e0"]
         faults = []
         if engine.unloads_in_use:
-            faults.append("An adapter in use was ordered out.")
+            faults.append("An adapter in use was unloaded.")
         if ledger.served < 3:
             faults.append(f"Only {ledger.served} of 3 were served.")
         return faults
 
 
 async def taken_over_idle() -> list[str]:
-    """A new holder evicts at once where the engine itself runs nothing."""
+    """A new leader evicts at once on an engine that reports no runs."""
     async with Ledger(1, Luck(), engines=1, slots=2) as ledger:
         await asyncio.sleep(2.0)
         await ledger.request("a0", 0.1)
@@ -555,13 +568,14 @@
         before = asyncio.get_running_loop().time()
         await ledger.request("a2", 0.0)
         took_s = asyncio.get_running_loop().time() - before
-        return [f"It took {took_s:.2f} s."] if took_s > 0.5 else []
+        return [f"The request took {took_s:.2f} s."] if took_s > 0.5 else []
 
 
 async def returned_goes_behind() -> list[str]:
-    """Who comes back after a refusal can't be on time any more.
+    """A retried request that missed its objective is served later.
 
-    Who still can goes first, though it arrived later.
+    A request that can still meet its objective goes first, although it
+    arrived after the retried one.
     """
     async with Ledger(1, Luck(), engines=1, slots=1) as ledger:
         await asyncio.sleep(2.0)
@@ -570,7 +584,7 @@
         back = asyncio.create_task(ledger.request("a2", 0.1, age_s=2.0))
         await asyncio.sleep(0.05)
         await ledger.request("a3", 0.0)
-        faults = ["Who came back went first."] if back.done() else []
+        faults = ["The retried request went first."] if back.done() else []
         await asyncio.gather(busy, back)
         if ledger.served < 3:
             faults.append(f"Only {ledger.served} of 3 were served.")
@@ -578,7 +592,7 @@
 
 
 async def long_prompt_goes_sooner() -> list[str]:
-    """Who needs longer to read must begin sooner to be on time."""
+    """A long prompt goes first, as it must begin sooner to be on time."""
     async with Ledger(1, Luck(), engines=1, slots=1) as ledger:
         await asyncio.sleep(2.0)
         busy = asyncio.create_task(ledger.request("a1", 0.2))
@@ -592,7 +606,7 @@
 
 
 async def full_home() -> list[str]:
-    """Room elsewhere is taken when home has none for long."""
+    """A request goes to another engine if its home engine stays full."""
     async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
         await asyncio.sleep(2.0)
         long = [
@@ -607,15 +621,16 @@
         took_s = asyncio.get_running_loop().time() - before
         await asyncio.gather(*long)
         if ledger.refused or took_s > 1.5:
-            return [f"It waited {took_s:.1f} s for a full home."]
+            return [f"The request waited {took_s:.1f} s for its full home."]
         return []
 
 
 async def asked_again() -> list[str]:
-    """Whose reply was lost asks again, and counts once from then on.
+    """A request repeated after a lost reply is counted only once.
 
-    At the same engine or at another one: what is counted twice is given
-    back once, and a prompt that nobody reads is believed to grow late.
+    This holds if the new place is at the same engine or at another one. A
+    second count would be left over after the only release, and its prompt
+    would stay in the estimated backlog of an engine that never reads it.
     """
     async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
         await asyncio.sleep(2.0)
@@ -642,7 +657,7 @@
 
 
 async def models_in_turn() -> list[str]:
-    """Base models come from the store one at a time, from disks at once."""
+    """The store serves one base model at a time; local disks don't wait."""
     async with Ledger(1, Luck(), engines=5) as ledger:
         engines = list(ledger.engine_by_id.values())
         for number, engine in enumerate(engines):
@@ -651,16 +666,21 @@
         for _ in range(100):
             await asyncio.sleep(0.1)
             most = max(most, sum(e.fetching for e in engines))
-        faults = [f"{most} at once from the store"] if most != 1 else []
+        faults = (
+            [f"{most} fetches from the store at once"] if most != 1 else []
+        )
         if not all(engine.model_loaded for engine in engines):
-            faults.append("An engine is left without a model.")
+            faults.append("An engine did not load its model.")
         if engines[4].model_at > 3.0:
-            faults.append("A copy on disk waited for the store.")
+            faults.append("A load from disk waited for the store.")
         return faults
 
 
 async def storm_of_waiters() -> list[str]:
-    """Many who wait cost few decisions, so that the leader keeps its time."""
+    """Many waiting requests cause few rounds of decisions.
+
+    Otherwise the event loop of the leader has no time for other work.
+    """
     async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
         await asyncio.sleep(2.0)
         decided = 0
@@ -679,11 +699,11 @@
             for n in range(200)
         ]
         await asyncio.gather(*tasks)
-        return [f"{decided} decisions"] if decided > 17 else []
+        return [f"{decided} rounds of decisions"] if decided > 17 else []
 
 
 async def named_version() -> list[str]:
-    """A named version is in force for new runs soon after."""
+    """A new default version applies to new runs within 2 s."""
     async with Ledger(1, Luck()) as ledger:
         await asyncio.sleep(2.0)
         await ledger.request("a1", 0.1)
@@ -695,17 +715,22 @@
         )
         place = await ledger.placer.on_place(ask)
         await busy
-        return [] if place.version == 7 else [f"{place} after 2 s"]
+        return (
+            []
+            if place.version == 7
+            else [f"still placed as {place} after 2 s"]
+        )
 
 
 def _blind(orders, name, version, expected) -> targets.EngineOrder:
-    """Order without saying what is expected, as a mutant does."""
+    """Return an order without the expected sequence, for a mutant."""
     return _ORDER(orders, name, version, None)
 
 
 _ORDER = placement.EngineOrders._order
 
-# Each switches a guard off: its name, its scenario, what it patches.
+# Mutants, each of which disables a guard: name, scenario that must then
+# fail, patched attribute.
 MUTANTS = (
     (
         "send what was settled away",
@@ -794,7 +819,7 @@
 
 
 async def _then_cancel_all(work) -> list[str]:
-    """Return what the work returns, and leave no task behind."""
+    """Return the result of the work, after cancelling its other tasks."""
     try:
         return await work
     finally:
@@ -810,12 +835,12 @@
 
 
 def switched_off(guard: tuple) -> contextlib.AbstractContextManager:
-    """Patch an attribute: its owner, its name, and what stands for it."""
+    """Patch a guard, given as owner, attribute name and replacement."""
     return unittest.mock.patch.object(*guard)
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
     with switched_off(guard):
         if scenario != "random":
@@ -824,7 +849,7 @@
 
 
 def run_random(seed: int) -> list[str]:
-    """Run random loads with bad luck of every mix."""
+    """Run a random load with fault rates chosen by the seed."""
     rng = random.Random(seed)
     luck = Luck(rng.choice((0, 0.1, 0.35)), rng.choice((0, 0.1, 0.3)))
     faults = run(random_load(seed, luck))
