--- a/features/holders.feature
+++ b/features/holders.feature
@@ -1,6 +1,7 @@
 Feature: Who gives orders to an engine, over changes of the leader
-  Engines saw orders of one replica, then of another, then of the first
-  again, all within one lease, though each led the log when it ordered.
+  Guards against an engine that takes orders from one replica, then from
+  another, then from the first again within one lease, after two elections
+  in a row.
 
   Scenario: No holder of orders has two turns within a lease
     When the lead moves away and back, with and without restarts
--- a/features/steps/holders.py
+++ b/features/steps/holders.py
@@ -1,4 +1,4 @@
-"""Steps of the holders of orders, over changes of the leader."""
+"""Steps that test which replica issues orders, across elections."""
 
 import behave
 import hypothesis
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -1,20 +1,16 @@
-"""Who gives orders to an engine, over changes of the log's leader.
-
-The story. Users saw an engine take orders from one replica, 1.8 s later from
-another, and 0.9 s after that from the first again, each with a higher
-fencing number and each accepted; the lease of a holder is 3 s. No process
-was stale: each led the log when it ordered. The right to order moved with
-each election, and nothing remembered who had ordered before and until when,
-so two elections in a row gave it away and back inside one lease.
-
-The evidence. Fencing numbers only rose (2, 3, 4) and no order was refused,
-which rules out a stale holder and a doubled number. ``away_and_back`` below
-brings the same sequence about with nothing but two elections: no fault of
-the network, a disk or a process is needed.
-
-Real replicas run here in virtual time before engines that note who ordered
-what. The oracle looks at the sequence of holders at each engine, which a
-check of fencing numbers alone never sees.
+"""Which replica issues orders to an engine, across leader elections.
+
+Guards against an engine that takes orders from one replica, then from
+another, and then from the first again, all within one 3 s lease. The gaps
+observed were 1.8 s and 0.9 s. It took no more than two elections in a row,
+without a fault of the network, a disk or a process: the right to order moved
+with each election, and no record said who had ordered before and until when.
+``away_and_back`` reproduces it.
+
+Fencing tokens don't reveal the failure: they only rose (2, 3, 4), each
+replica led the log when it ordered, and no order was refused. The tests
+therefore run real replicas in virtual time and check the sequence of order
+holders at each engine.
 """
 
 import asyncio
@@ -41,7 +37,7 @@
 
 
 class WatchedEngine(targets.AdapterEngine):
-    """An engine as one replica reaches it; notes whose each number is."""
+    """One replica's client of an engine; records the holder of each fence."""
 
     def __init__(
         self,
@@ -66,7 +62,10 @@
 
 
 def turns_taken(accepted: list[tuple[float, str]], lease_s: float) -> list:
-    """Return where a holder came back within a lease, another between."""
+    """Return where another holder ordered between two orders of one holder.
+
+    Only orders within one lease count.
+    """
     faults = []
     for number, (at, holder) in enumerate(accepted):
         before = [
@@ -82,14 +81,14 @@
         ]
         if between:
             faults.append(
-                f"{holder} at {own[0]:.3f} s, {between[0]}, "
-                f"{holder} again at {at:.3f} s"
+                f"{holder} ordered at {own[0]:.3f} s, then {between[0]}, "
+                f"then {holder} again at {at:.3f} s"
             )
     return faults
 
 
 class ListedEngines(targets.InstanceList):
-    """A list that names all engines."""
+    """An instance list with a fixed content."""
 
     def __init__(self, instances: tuple[targets.Instance, ...]) -> None:
         self._instances = instances
@@ -99,7 +98,7 @@
 
 
 class Place:
-    """A replica's address, its disk and its process."""
+    """A replica with its address, its disk and, while up, its process."""
 
     def __init__(self, number: int, rng: random.Random) -> None:
         self.name = f"replica-{number}"
@@ -109,16 +108,16 @@
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process runs."""
         return self.replica is not None
 
     def leads(self) -> bool:
-        """Whether it surely leads."""
+        """Whether it leads and its leader lease is valid."""
         return self.up and self.replica.node.holds_lease()
 
 
 class Holders:
-    """Replicas before engines; an async context manager."""
+    """Runs three replicas with fake engines; an async context manager."""
 
     def __init__(
         self,
@@ -195,16 +194,16 @@
         await replica.__aexit__(None, None, None)
 
     async def leader(self) -> Place:
-        """Wait for a leader."""
+        """Wait for a leader and return it."""
         for _ in range(600):
             for place in self.places:
                 if place.leads():
                     return place
             await asyncio.sleep(0.02)
-        raise AssertionError("There is no leader.")
+        raise AssertionError("No leader was elected within 12 s.")
 
     async def ordering(self) -> tuple[Place, Place]:
-        """Wait until the leader orders; return it and another replica."""
+        """Wait until the leader issues orders; return it and a follower."""
         first = await self.leader()
         other = next(place for place in self.places if place is not first)
         await self.ask_until_served(3.0)
@@ -213,7 +212,7 @@
         return first, other
 
     async def move_lead(self, place: Place) -> None:
-        """Let another replica be elected, at once and without a fault."""
+        """Have a replica elected at once, without a fault."""
         node = place.replica.node
         for _ in range(40):
             if place.leads():
@@ -224,13 +223,13 @@
         raise AssertionError(f"{place.name} was not elected.")
 
     async def ask(self, patience_s: float = 0.5) -> bool:
-        """Ask who leads for a place with an adapter that is nowhere."""
+        """Ask the leader for a place, with an adapter that is not resident."""
         return await self.ask_at(await self.leader(), patience_s)
 
     async def ask_at(
         self, place: Place, patience_s: float, adapter: str | None = None
     ) -> bool:
-        """Ask a replica for a place."""
+        """Ask a replica for a place; return whether it was granted."""
         self.asked += 1
         name = f"r{self.asked}"
         request = placement.PlaceRequest(
@@ -259,13 +258,13 @@
         return True
 
     async def ask_often(self) -> None:
-        """Ask for some seconds, served or not."""
+        """Ask 20 times, whether served or not."""
         for _ in range(20):
             await self.ask(0.2)
             await asyncio.sleep(0.02)
 
     async def ask_until_served(self, within_s: float) -> float | None:
-        """Ask again and again; return when it was served, None if never."""
+        """Ask until served; return the seconds it took, or None."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         while loop.time() - started_at < within_s:
@@ -275,14 +274,14 @@
         return None
 
     def accepted(self, target: str) -> list[tuple[float, str]]:
-        """Return when an engine accepted whose orders."""
+        """Return the time and the holder of each order an engine accepted."""
         return [
             (at, self._holder_by_fence[fence])
             for at, fence in self.engine_by_id[target].accepted
         ]
 
     def faults(self) -> list[str]:
-        """Return which engines saw holders take turns."""
+        """Return the engines at which order holders alternated in a lease."""
         return [
             f"{target}: {fault}"
             for target in self.engine_by_id
@@ -291,7 +290,7 @@
 
 
 async def away_and_back() -> list[str]:
-    """The lead moves to another replica and back within one lease."""
+    """Leadership moves to another replica and back within one lease."""
     async with Holders(1, engines=1) as holders:
         first, other = await holders.ordering()
         await holders.move_lead(other)
@@ -301,14 +300,14 @@
         faults = holders.faults()
         ordered = {holder for _, holder in holders.accepted("e0")}
         if ordered != {first.name, other.name}:
-            faults.append("Not both of them ordered.")
+            faults.append("Not both replicas issued orders.")
         if await holders.ask_until_served(5.0) is None:
             faults.append("It never ordered again.")
         return faults
 
 
 async def back_after_a_restart() -> list[str]:
-    """A process that forgot its last order waits as if it were its start."""
+    """A restarted process takes its start as the time of its last order."""
     async with Holders(2, engines=1) as holders:
         first, _ = await holders.ordering()
         await holders.stop(first)
@@ -320,25 +319,25 @@
         await holders.ask_often()
         faults = holders.faults()
         if {h for _, h in holders.accepted("e0")} == {first.name}:
-            faults.append("Nobody else ordered meanwhile.")
+            faults.append("No other replica issued orders meanwhile.")
         if await holders.ask_until_served(5.0) is None:
             faults.append("It never ordered again.")
         return faults
 
 
 async def handed_on_at_once() -> list[str]:
-    """A replica that never ordered begins as soon as it leads."""
+    """A replica that never issued orders does so as soon as it leads."""
     async with Holders(3, engines=1) as holders:
         _, other = await holders.ordering()
         await holders.move_lead(other)
         took_s = await holders.ask_until_served(3.0)
         if took_s is None or took_s > 1.5:
-            return [f"It began after {took_s} s."]
+            return [f"The first order took {took_s} s."]
         return holders.faults()
 
 
 async def regained_at_once() -> list[str]:
-    """Who leads again with nobody between goes on without a wait."""
+    """A leader that is reelected without another between doesn't wait."""
     async with Holders(4, engines=1) as holders:
         first, _ = await holders.ordering()
         node = first.replica.node
@@ -346,12 +345,12 @@
         await holders.move_lead(first)
         took_s = await holders.ask_until_served(3.0)
         if took_s is None or took_s > 1.5:
-            return [f"It went on after {took_s} s."]
+            return [f"The next order took {took_s} s."]
         return holders.faults()
 
 
 async def all_restarted_at_once() -> list[str]:
-    """After a restart of all, long after others ordered, nobody waits."""
+    """No leader waits after all restart, if other holders' leases expired."""
     faults = []
     for seed in range(4):
         async with Holders(seed, engines=1) as holders:
@@ -368,13 +367,13 @@
             await holders.leader()
             took_s = await holders.ask_until_served(5.0)
             if took_s is None or took_s > 1.5:
-                faults.append(f"seed {seed}: it began after {took_s} s")
+                faults.append(f"seed {seed}: the first order took {took_s} s")
             faults += holders.faults()
     return faults
 
 
 async def noted_before_it_orders() -> list[str]:
-    """Who leads and can't note that it orders, orders nothing."""
+    """A leader that can't record its tenure in the log issues no orders."""
     async with Holders(1, engines=1) as holders:
         first, other = await holders.ordering()
         node = other.replica.node
@@ -386,13 +385,13 @@
         for _ in range(8):
             await holders.ask_at(other, 0.05)
         ordered = [h for _, h in holders.accepted("e0") if h == other.name]
-        return [f"{len(ordered)} orders"] if ordered else []
+        return [f"{len(ordered)} orders were sent"] if ordered else []
 
 
 async def quiet_after_each_term() -> list[str]:
-    """Where engines ignore fencing numbers, a regained lead waits too.
+    """With engines that ignore fences, a reelected leader waits too.
 
-    An own order of the term before may still be on its way.
+    Its own orders of the previous term may still be in flight.
     """
     faults = []
     async with Holders(5, engines=1, order_quiet_s=LEASE_S) as holders:
@@ -406,12 +405,14 @@
         await holders.ask_until_served(8.0)
         ordered_at = holders.accepted("e0")[before][0]
         if ordered_at < regained_at + LEASE_S - 0.2:
-            faults.append(f"It ordered {ordered_at - regained_at:.2f} s on.")
+            faults.append(
+                f"It ordered after {ordered_at - regained_at:.2f} s."
+            )
     return faults
 
 
 async def resident_meanwhile() -> list[str]:
-    """Who may not order yet still places on what engines hold."""
+    """A leader that may not order yet still places on resident adapters."""
     async with Holders(6, engines=1) as holders:
         first, other = await holders.ordering()
         known = f"a{holders.asked}"
@@ -419,13 +420,13 @@
         await holders.ask_until_served(2.0)
         await holders.move_lead(first)
         if not await holders.ask_at(first, 0.5, known):
-            return ["What is resident was refused."]
+            return ["A request for a resident adapter was refused."]
         return holders.faults()
 
 
 async def random_elections(seed: int) -> list[str]:
-    """Leads that move at random, kills, lost disks; requests all the time."""
-    # Some answers are lost: the order was carried out all the same.
+    """Random elections, kills and lost disks under continuous requests."""
+    # Orders whose answer is lost are executed nevertheless.
     async with Holders(seed, luck=ledger.Luck(lost=0.1)) as holders:
         rng = random.Random(seed)
         await holders.ask_until_served(4.0)
@@ -448,12 +449,12 @@
         await asyncio.gather(asking, return_exceptions=True)
         faults = holders.faults()
         if await holders.ask_until_served(8.0) is None:
-            faults.append("At the end nothing is served.")
+            faults.append("No request was served at the end.")
         return [f"seed {seed}: {fault}" for fault in faults]
 
 
 class TenureModel:
-    """Processes with a tenure each, elections, and what an engine saw."""
+    """Processes with a tenure each, and the orders an engine accepted."""
 
     def __init__(self, names: tuple[str, ...], lease_s: float) -> None:
         self.now = 0.0
@@ -467,17 +468,17 @@
         return placement.Tenure(self._lease_s, self.now)
 
     def elect(self, name: str) -> None:
-        """Let a process lead from now on."""
+        """Make a process the leader."""
         self.term += 1
         tenure = self._tenure_by_name[name]
         tenure.begin(self.term, name, tuple(self.noted), self.now)
 
     def restart(self, name: str) -> None:
-        """Let a process forget all but what is noted beyond it."""
+        """Restart a process; only the replicated record survives."""
         self._tenure_by_name[name] = self._new()
 
     def order(self, name: str) -> None:
-        """Let a process order, if it thinks that it may."""
+        """Let a process issue an order, if its tenure permits it."""
         tenure = self._tenure_by_name[name]
         if tenure.fence == self.term and tenure.due(self.now):
             self.noted = [n for n in self.noted if n != name] + [name]
@@ -501,7 +502,7 @@
 
 
 def tenures_agree(steps: list[tuple[str, str, float]]) -> None:
-    """Whatever the elections, no holder has two turns within a lease."""
+    """Check that holders don't alternate within a lease in any history."""
     model = TenureModel(("r1", "r2", "r3"), LEASE_S)
     for what, name, pause_s in steps:
         model.now += pause_s
@@ -544,29 +545,30 @@
 
 
 def _begin_at_once(tenure, fence, name, former, now) -> None:
-    """Begin without a look at who ordered before, as a mutant does."""
+    """Begin regardless of the former holders, for a mutant."""
     tenure.fence = fence
     tenure._noted = True
 
 
 @contextlib.contextmanager
 def _forget_order(tenure: placement.Tenure, _):
-    """Take a former order for one of long ago, as a mutant does."""
+    """Forget the time of the last order, for a mutant."""
     yield
     tenure._ordered_at = float("-inf")
 
 
 def _alone_at_once(tenure: placement.Tenure, _: float) -> bool:
-    """Note at once that nobody else ordered, as a mutant does."""
+    """Drop the former holders before the lease is over, for a mutant."""
     return tenure._noted and not tenure._alone
 
 
 def _due_unnoted(tenure: placement.Tenure, fence: int) -> bool:
-    """Order when it is due, noted or not, as a mutant does."""
+    """Permit orders whether recorded or not, for a mutant."""
     return fence == tenure.fence
 
 
-# Each switches a guard off: its name, its scenario, what it patches.
+# Mutants, each of which disables a guard: name, scenario that must then
+# fail, patched attribute.
 MUTANTS = (
     (
         "order before it is noted",
@@ -597,7 +599,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
     with ledger.switched_off(guard):
         return run_scenario(scenario)
