--- a/features/starts.feature
+++ b/features/starts.feature
@@ -1,6 +1,7 @@
 Feature: Targets that start again under the name that they had
-  What is known of one start is void for the next: its ledger, requests
-  counted there, copies, faults. The list lags, and a start may be untold.
+  A restart voids what is known of the target: its ledger, the requests
+  counted there, its copies and its faults. The list of targets lags, and a
+  start may have no start time.
 
   Scenario Outline: <scenario>: what is known is of this start
     When the starts go as in <scenario>
--- a/features/steps/starts.py
+++ b/features/steps/starts.py
@@ -1,4 +1,4 @@
-"""Steps of targets that start again under their name."""
+"""Steps that test targets which restart under the same name."""
 
 import multiprocessing
 
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -1,7 +1,8 @@
-"""Engines that start again under the name that they had.
+"""Engines that restart under the same name.
 
-The holder of the orders and the memory of the list are real; the engines
-are the oracles of the ledger's tests. Virtual time.
+The placer and the fleet, which remembers the listed targets, are production
+code; the engines are the fake ones of the tests of the ledger. All run in
+virtual time.
 """
 
 import asyncio
@@ -19,13 +20,13 @@
 
 BORN_MS = 1_700_000_000_000
 LATER_MS = 60_000
-# An engine is used again once its model is back and one adapter is loaded.
+# Time to reload the base model and one adapter after a restart.
 BACK_S = ledger.MODEL_S + 3.0
 ADDRESS = "10.1.0.1:1"
 
 
 class StartLedger(ledger.Ledger):
-    """A ledger whose engines are listed, with when they started."""
+    """A placer with fake engines and a list of their start times."""
 
     def __init__(
         self, seed: int, luck: ledger.Luck = ledger.Luck(), engines: int = 1
@@ -50,7 +51,7 @@
         self._publish()
 
     def read_list(self) -> None:
-        """Read the list as it stands."""
+        """Update the fleet and the placer from the list."""
         now = asyncio.get_running_loop().time()
         self.fleet.update(
             [
@@ -77,12 +78,12 @@
 
     @property
     def holdings(self) -> list[placement.Holding]:
-        """What is believed of the engines."""
+        """What the placer has recorded of each engine."""
         orders = self.placer._orders_by_target.values()
         return [each.holding for each in orders]
 
     async def fill(self, adapters: int = 3) -> None:
-        """Load adapters, and leave one request that never ends here."""
+        """Load adapters, and place one request that is never released."""
         await asyncio.sleep(2.0)
         for number in range(adapters):
             await self.request(f"a{number}", 0.05)
@@ -94,24 +95,30 @@
 
 
 async def _serves_anew(world: StartLedger) -> list[str]:
-    """Return what is wrong a while after an engine started anew."""
+    """Return what the placer kept from before an engine's restart."""
     (engine,) = world.engine_by_id.values()
     await world.request("a0", 0.05, BACK_S)
     if not world.served:
-        return ["A request was refused, or ran where its adapter was not."]
+        return ["The request was refused, or its adapter was not loaded."]
     (holding,) = world.holdings
     faults = []
     if holding.running:
-        faults.append(f"{holding.running} requests of before still count.")
+        faults.append(
+            f"{holding.running} requests from before the restart "
+            "are still counted."
+        )
     if holding.sequence != engine.sequence:
-        faults.append(f"{holding.sequence} orders are counted.")
+        faults.append(
+            f"The ledger counts {holding.sequence} orders, the engine "
+            f"{engine.sequence}."
+        )
     if holding.has_copy((ledger.MODEL, "a1")):
-        faults.append("A copy of before is believed in.")
+        faults.append("A copy from before the restart is still recorded.")
     return faults
 
 
 async def told_by_the_engine() -> list[str]:
-    """Its report names a later start, while the list still lags."""
+    """The engine reports a later start while the list still lags."""
     async with StartLedger(1) as world:
         await world.fill()
         world.served = 0
@@ -124,12 +131,12 @@
         world.listed_by_name["e0"] = BORN_MS + LATER_MS
         world.read_list()
         if world.holdings != [before]:
-            faults.append("The lagging list ended the new ledger.")
+            faults.append("The lagging list discarded the new ledger.")
         return faults
 
 
 async def told_by_the_list() -> list[str]:
-    """The list names a later start before anything else shows it."""
+    """The list is the first to show a later start."""
     async with StartLedger(1) as world:
         await world.fill()
         world.served = 0
@@ -140,7 +147,7 @@
 
 
 async def told_by_neither() -> list[str]:
-    """Nothing names a start; fewer orders and no adapters show it."""
+    """No start time is known; fewer orders and no adapters show a restart."""
     async with StartLedger(1) as world:
         world.listed_by_name["e0"] = None
         world.engine_by_id["e0"].restart(None)
@@ -153,7 +160,7 @@
 
 
 async def told_the_same() -> list[str]:
-    """The same start told again, not told or told first ends nothing."""
+    """A start that is listed again, or not listed, discards no ledger."""
     async with StartLedger(1) as world:
         await world.fill()
         before = world.holdings
@@ -162,12 +169,12 @@
             world.read_list()
             await asyncio.sleep(1.0)
         if world.holdings != before:
-            return ["A ledger of the same start was ended."]
+            return ["The ledger of an unchanged start was discarded."]
         return []
 
 
 async def told_late() -> list[str]:
-    """The list names a start for the first time; it may be the known one."""
+    """A start time that is listed late may be that of the known start."""
     async with StartLedger(1) as world:
         world.fleet = control.Fleet()
         world.listed_by_name["e0"] = None
@@ -178,7 +185,7 @@
         world.read_list()
         await asyncio.sleep(1.0)
         if world.holdings != before:
-            return ["A ledger was ended by a start told late."]
+            return ["A start time that was listed late discarded the ledger."]
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         await world.request("a0", 0.05)
         world.served = 0
@@ -195,7 +202,11 @@
 
 
 async def random_starts(seed: int, tells: bool) -> list[str]:
-    """Random requests while engines start again under their names."""
+    """Random requests while engines restart under the same names.
+
+    Args:
+        tells: whether the engines and the list give start times.
+    """
     rng = random.Random(seed)
     luck = ledger.Luck(rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0)
     async with StartLedger(seed, luck, 2) as world:
@@ -224,15 +235,18 @@
         await asyncio.gather(*(world.request(f"a{n}", 0.05) for n in range(8)))
         faults = world.check()
         if world.served < served + 8:
-            faults.append(f"After all was well, only {world.served} ran.")
+            faults.append(
+                f"Only {world.served - served} of 8 requests were served "
+                "after the faults ended."
+            )
         running = [holding.running for holding in world.holdings]
         if any(running):
-            faults.append(f"Still counted: {running}.")
+            faults.append(f"Ended requests are still counted: {running}.")
         return faults
 
 
 def _hush(world: StartLedger) -> None:
-    """Let nothing say when an engine started."""
+    """Remove all start times from the engines and the list."""
     world.fleet = control.Fleet()
     for name, engine in world.engine_by_id.items():
         engine.restart(None)
@@ -243,7 +257,7 @@
 
 
 def _restart_one(world: StartLedger, rng: random.Random, tells: bool) -> None:
-    """Restart an engine; the list may tell later, or never."""
+    """Restart an engine; the list shows it now, later or never."""
     name = rng.choice(list(world.engine_by_id))
     engine = world.engine_by_id[name]
     if not tells:
@@ -260,16 +274,17 @@
 
 
 def run_random(seed: int) -> list[str]:
-    """Run random loads with engines that start again."""
+    """Run random loads with engines that restart."""
     return [
-        f"seed {seed}, told {tells}: {fault}"
+        f"seed {seed}, start times known {tells}: {fault}"
         for tells in (True, False)
         for fault in ledger.run(random_starts(seed, tells))
     ]
 
 
-# What the list and the engine say, one after the other: the list a start
-# of some time ago or none, the engine its own.
+# Events: the engine restarts, the list gives a start some restarts old or
+# none, or the engine reports its present start. The number is the age of the
+# listed start in restarts.
 HISTORY = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(["starts", "list", "hushed list", "engine"]),
@@ -280,9 +295,9 @@
 
 
 def fleet_follows_starts(history: list[tuple[str, int]]) -> None:
-    """Compare a fleet with what an engine did.
+    """Check that a fleet keeps the latest start it has seen.
 
-    What was told of a start stays in force, however old the list is.
+    A list that lags must not bring back an earlier start.
     """
     fleet = control.Fleet()
     start, told = 0, 0
@@ -319,7 +334,7 @@
 
 @hypothesis.given(NAMES, strategies.none() | strategies.integers(0))
 def texts_say_all(name: str, born_ms: int | None) -> None:
-    """The text of an incarnation names that one and no other."""
+    """Check that an incarnation is unchanged by writing and parsing it."""
     start = targets.Incarnation(name, born_ms)
     assert targets.Incarnation.of(str(start)) == start, start
 
@@ -328,7 +343,8 @@
     return orders._engine.report()
 
 
-# Each switches a guard off: its name, its scenario, what it patches.
+# Mutants, each of which disables a guard: name, scenario that must then
+# fail, patched attribute.
 MUTANTS = (
     (
         "one fencing number for all starts",
@@ -359,12 +375,12 @@
 
 
 def _forget(fleet: control.Fleet, instance: targets.Instance) -> None:
-    """Take an entry of the list without regard to what was known."""
+    """Replace what was known of a target with its entry in the list."""
     fleet.remember(instance, False)
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
     with ledger.switched_off(guard):
         try:
