--- a/features/steps/decisions.py
+++ b/features/steps/decisions.py
@@ -1,4 +1,4 @@
-"""Steps about decisions on places."""
+"""Steps that test the placement decisions."""
 
 import behave
 
--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -1,6 +1,7 @@
-"""Loads played against the decisions, without a network or a clock.
+"""Simulated loads on the placement decisions, without a network.
 
-Each returns what went otherwise than it states.
+Time is an argument or virtual. Each load returns the differences from what
+its docstring states.
 """
 
 import asyncio
@@ -45,14 +46,14 @@
 
 
 class EngineOfSpeed:
-    """Reads prompts one after the other at a speed of its own."""
+    """A simulated engine that reads prompts in order, at a given pace."""
 
     def __init__(self, pace: Pace) -> None:
         self.pace = pace
         self._free_at = 0.0
 
     def first_at(self, tokens: int, now: float) -> float:
-        """Take a prompt; return when its first answer comes."""
+        """Queue a prompt; return the time of its first token."""
         self._free_at = max(self._free_at, now) + self.pace.read_s(tokens)
         return self._free_at
 
@@ -60,7 +61,10 @@
 def _errors_of_belief(
     engine: EngineOfSpeed, reading: _pace.Reading, requests: int
 ) -> list[float]:
-    """Play requests at random times; return errors of the believed wait."""
+    """Return the errors of the estimated time to first token.
+
+    The requests arrive at random times.
+    """
     rng = random.Random(1)
     now = 100.0
     errors: list[float] = []
@@ -88,20 +92,20 @@
 
 
 def faster(learns: bool = True) -> list[str]:
-    """An engine that reads 38,000 tokens a second is found out.
+    """The speed of an engine that reads 38,000 tokens/s is learned.
 
-    The believed time to the first answer is wrong by 0.12 s on average
-    with the first belief, and by under 0.02 s once learned.
+    The mean error of the estimated time to first token is 0.12 s with the
+    initial estimate, and under 0.02 s once the pace is learned.
     """
     error_s = _late_errors(learns, Pace(0.02, 38_000.0))
-    return [] if error_s < 0.02 else [f"wrong by {error_s:.3f} s"]
+    return [] if error_s < 0.02 else [f"mean error of {error_s:.3f} s"]
 
 
 def turns_slow() -> list[str]:
-    """An engine that turns four times slower is found out in 2 s.
+    """A fourfold slowdown of an engine is learned in 2 s.
 
-    A prompt that takes it 0.42 s is then believed to take over 0.2 s, and
-    0.1 s where one figure for all was believed.
+    A prompt that takes it 0.42 s is then estimated at over 0.2 s; one
+    estimate shared by all engines would give 0.1 s.
     """
     reading = _pace.Reading(_pace.PoolPace())
     now = 100.0
@@ -112,11 +116,11 @@
         now += took_s
         reading.begun(key, took_s, now)
     believed_s = reading.pace(now).read_s(3_000)
-    return [] if believed_s > 0.2 else [f"believed {believed_s:.3f} s"]
+    return [] if believed_s > 0.2 else [f"estimated {believed_s:.3f} s"]
 
 
 def slow_again() -> list[str]:
-    """A minute after it was slow, an engine counts like its peers."""
+    """The estimate of a slow engine returns to its peers' in a minute."""
     pool = _pace.PoolPace()
     slow, other = _pace.Reading(pool), _pace.Reading(pool)
     now = 100.0
@@ -130,7 +134,9 @@
     later = now + 60.0
     left_s = slow.pace(later).read_s(3_000) - other.pace(later).read_s(3_000)
     if apart_s < 0.1 or abs(left_s) > 0.02:
-        return [f"apart {apart_s:.3f} s, later {left_s:.3f} s"]
+        return [
+            f"differs by {apart_s:.3f} s, a minute later by {left_s:.3f} s"
+        ]
     return []
 
 
@@ -145,7 +151,7 @@
 
 
 def any_order() -> list[str]:
-    """Whatever is told, beliefs stay within their bounds."""
+    """Estimates stay in their bounds for events in any order."""
     faults: list[str] = []
 
     @hypothesis.settings(
@@ -180,20 +186,20 @@
 
 
 def silent() -> list[str]:
-    """An engine that gives no answer is believed later and later."""
+    """The estimated backlog of an engine without answers keeps growing."""
     reading = _pace.Reading(_pace.PoolPace())
     reading.add(("e", "1"), 1_000, 0, 100.0)
     backlogs = [reading.backlog_s(100.0 + s) for s in (0.05, 1.0, 2.0)]
     if backlogs[1] < 0.8 or backlogs[2] < 1.8:
-        return [f"believed {backlogs}"]
+        return [f"estimated backlogs: {backlogs}"]
     return []
 
 
 def urgent() -> list[str]:
-    """A more urgent prompt does not wait for less urgent ones.
+    """An urgent prompt is not estimated to wait for less urgent ones.
 
-    Behind five prompts of 9,000 tokens it is believed to be read at once;
-    it was believed to wait for 2.8 s.
+    Behind five prompts of 9,000 tokens it is estimated to be read at once;
+    without regard to priority the estimate is 2.8 s.
     """
     reading = _pace.Reading(_pace.PoolPace())
     for number in range(5):
@@ -206,7 +212,7 @@
 
 
 def read_between() -> list[str]:
-    """What is read between teaches no wrong speed of what it delayed."""
+    """A prompt read first doesn't skew the learned pace of a delayed one."""
     reading = _pace.Reading(_pace.PoolPace())
     now = 100.0
     for number in range(30):
@@ -216,11 +222,15 @@
         reading.begun(("e", f"long{number}"), 0.27, now + 0.27)
         now += 0.5
     read_s = reading.pace(now).read_s(9_000)
-    return [] if 0.22 < read_s < 0.27 else [f"9,000 tokens in {read_s:.3f} s"]
+    return (
+        []
+        if 0.22 < read_s < 0.27
+        else [f"9,000 tokens are estimated at {read_s:.3f} s"]
+    )
 
 
 class Engines:
-    """Holdings of a few engines and decisions on them."""
+    """Holdings of simulated engines, and decisions on them."""
 
     def __init__(
         self,
@@ -251,13 +261,13 @@
         self._number = 0
 
     def hold(self, target: str, adapter: str, **fields: object) -> None:
-        """Let an engine hold an adapter."""
+        """Make an adapter resident at an engine."""
         slot = _holding.Slot(1, _holding.SlotState.READY, **fields)
         self.by_id[target].slot_by_name[(MODEL, adapter)] = slot
         self.by_id[target].remember_copy((MODEL, adapter))
 
     def wish(self, adapter: str, tokens: int = 3_000) -> _place_policy.Wish:
-        """Return a request."""
+        """Return the placement wish of a request."""
         return _place_policy.Wish(
             POOL, (MODEL, adapter), tokens + 100, (), (), tokens, "a", 0.0
         )
@@ -265,7 +275,7 @@
     def decide(
         self, adapter: str, wanted: tuple[str, ...] = ()
     ) -> _decisions.Decision:
-        """Decide for a request, and carry a run out."""
+        """Decide for a request; add a run to the holding of its engine."""
         names = {(MODEL, name) for name in (adapter, *wanted)}
         decision = self.decider.decide(self.wish(adapter), names, self.now)
         if isinstance(decision, _decisions.Run):
@@ -278,11 +288,11 @@
 
 
 def asked_by_all(spread: bool = True) -> list[str]:
-    """A second copy is loaded where a queue builds up at the first.
+    """A second copy is loaded once a queue builds up at the first.
 
-    Of 12 requests at once for one adapter, all wait at one of four engines
-    without further copies, up to 2.4 s; with them nobody is sent into a
-    queue of over 0.5 s.
+    Without further copies, 12 simultaneous requests for one adapter all
+    queue at one of four engines, for up to 2.4 s. With them no request
+    joins a queue of over 0.5 s.
     """
     engines = Engines(4, _place_settings.PlaceSettings(spread=spread))
     engines.hold("e0", "a1")
@@ -300,7 +310,7 @@
 
 
 def wanted_by_others() -> list[str]:
-    """A further copy replaces nothing that others wait for."""
+    """A further copy evicts no adapter that other requests wait for."""
     engines = Engines(2)
     engines.hold("e0", "a1")
     for number in range(SPEC.adapter_slots):
@@ -314,7 +324,7 @@
 
 
 def on_its_way() -> list[str]:
-    """Nothing is loaded twice: who needs a coming copy waits for it."""
+    """A request waits for a copy that is loading; it loads no second."""
     engines = Engines(3)
     slot = _holding.Slot(
         1, _holding.SlotState.LOADING, ready_at=engines.now + 0.2
@@ -325,7 +335,7 @@
 
 
 def many_engines() -> list[str]:
-    """Among 600 engines few are weighed, and a copy is found anywhere."""
+    """Of 600 engines few are weighed, but any engine with a copy is."""
     engines = Engines(600)
     engines.by_id["e599"].remember_copy((MODEL, "a1"))
     weighed = 0
@@ -348,11 +358,11 @@
     return faults
 
 
-# Requests before the first routes.
+# Requests that arrive before the first route table.
 
 
 def _starting(routes_after_s: float | None) -> tuple[str, float]:
-    """Send a request to an instance that starts; return code and time."""
+    """Send a request to a starting instance; return code and seconds."""
 
     async def run() -> tuple[str, float]:
         loop = asyncio.get_running_loop()
@@ -397,10 +407,10 @@
 
 
 def starts() -> list[str]:
-    """Who comes 0.4 s before the routes is served by them, not refused.
+    """A request that arrives 0.4 s before the routes waits for them.
 
-    Before, each was refused and told to come back in 1.5 s, later than any
-    objective; here the route that then is looked up is not there.
+    A refusal would tell it to retry after 1.5 s, later than any objective.
+    Here the lookup that follows finds no route, hence ``not_found``.
     """
     code, took_s = _starting(0.4)
     if code != "not_found" or took_s > 0.45:
@@ -409,18 +419,18 @@
 
 
 def never_starts() -> list[str]:
-    """Without routes the refusal comes after 0.8 s, and is typed."""
+    """Without routes a request is refused as overloaded after 0.8 s."""
     code, took_s = _starting(None)
     if code != "overloaded" or not 0.7 < took_s < 0.9:
         return [f"{code} after {took_s:.2f} s"]
     return []
 
 
-# A leader that is lost, or behind.
+# A lost leader, and daemons or leaders that are overloaded.
 
 
 class _NobodyLeads(wire.PeerTransport):
-    """Refuses every call and counts them."""
+    """A transport that refuses and counts every call."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -429,7 +439,7 @@
         """Refuse."""
         self.calls += 1
         await asyncio.sleep(0.002)
-        raise wire.NotLeaderError("Nobody leads. Ask again.")
+        raise wire.NotLeaderError("There is no leader. Retry.")
 
     def stream(self, address, call, message, timeout_s):
         """Not used."""
@@ -458,10 +468,10 @@
 
 
 def lost_leader() -> list[str]:
-    """83 daemons with 8 requests each do not ask without end for a leader.
+    """A call budget limits how often daemons ask while there is no leader.
 
-    In 2 s they ask some 1,000 times at most, all together; they asked 5,976
-    times before their budget.
+    83 daemons with 8 requests each make no more calls in 2 s than the budget
+    permits, 1,366 in all; without a budget they made 5,976.
     """
 
     async def run() -> int:
@@ -479,16 +489,20 @@
     with contextlib.closing(loop):
         calls = loop.run_until_complete(run())
     most = 2 * _places.MOST_ASKS_PER_S + 83 * _places.LEAST_BURST
-    return [] if calls <= most else [f"{calls} calls in 2 s"]
+    return (
+        []
+        if calls <= most
+        else [f"{calls} calls in 2 s, the budget permits {most}"]
+    )
 
 
 def long_silence() -> list[str]:
-    """Who comes into a long silence is refused while it is cheap.
+    """Requests are refused early once the leader has been lost for long.
 
-    The leader goes, and nobody leads for 10 s. Requests that can wait 3 s
-    come all the while. Those of the first 1.5 s wait, as an election may
-    end it; who comes later than 3 s is told within 0.1 s that it has not
-    run, and to come back no sooner than in 1 s. Before, each was held for
+    There is no leader for 10 s, while requests arrive that can wait 3 s.
+    Those of the first 1.5 s wait, as an election may end the outage. A
+    request that arrives after 3 s is refused within 0.1 s as not run, and is
+    told to retry after 1 s at the earliest. Otherwise it would be held for
     3 s and then refused all the same.
     """
 
@@ -527,19 +541,24 @@
         most_s = 0.1 if came_at > 3.0 else 3.1
         if not least_s <= held_s <= most_s or (retry_s or 0.0) < 1.0:
             faults.append(
-                f"came after {came_at:.1f} s: refused after {held_s:.2f} s, "
-                f"to come back in {retry_s} s"
+                f"arrived at {came_at:.1f} s: refused after {held_s:.2f} s, "
+                f"retry after {retry_s} s"
             )
-    return faults if len(held) == 100 else [f"{len(held)} were refused"]
+    return (
+        faults
+        if len(held) == 100
+        else [f"{len(held)} of 100 requests were refused"]
+    )
 
 
 def surveyed(asks: bool = True) -> list[str]:
-    """In a long silence requests go where engines say that they can.
+    """Without a leader requests go to engines that report the adapter.
 
     Of four engines one holds the adapter, one an older version than the
-    named one, one is leaving, and one says nothing. Each of twenty requests
-    is sent to the first, none has to wait 0.3 s, and engines are asked
-    once. An adapter that nobody holds is refused.
+    default one, one is leaving, and one does not answer. Each of twenty
+    requests is sent to the first, all within 0.3 s, and each engine that is
+    not leaving is asked once. A request for an adapter that no engine holds
+    is refused.
     """
     asked: list[str] = []
     infos = [
@@ -552,7 +571,7 @@
         asked.append(info.id)
         await asyncio.sleep(0.01)
         if info.id not in version_by_target:
-            raise wire.PeerLostError("It says nothing.")
+            raise wire.PeerLostError("The engine does not answer.")
         held = targets.HeldAdapter(MODEL, "a1", version_by_target[info.id])
         return targets.AdapterReport((MODEL,), (held,), (), False, 1)
 
@@ -582,7 +601,7 @@
             places.take(absent), return_exceptions=True
         )
         if took_s > 0.3:
-            refused.append(f"it took {took_s:.2f} s")
+            refused.append(f"the placements took {took_s:.2f} s")
         return found, refused
 
     loop = looptime.new_event_loop()
@@ -602,7 +621,7 @@
 
 
 class _Asked(wire.PeerTransport):
-    """Grants every place, and notes in which order they were asked for."""
+    """A transport that grants every place and records the order of calls."""
 
     def __init__(self) -> None:
         self.order: list[int] = []
@@ -619,11 +638,11 @@
 
 
 def late_wait() -> list[str]:
-    """Of a daemon's requests those that are late go behind the others.
+    """A daemon asks for its late requests after the others.
 
-    A daemon of 83 has 7 turns a second. Ten requests that are late and then
-    four that are not ask at once: in order of arrival the four were asked
-    for last, after 1.1 to 1.7 s, each later than its objective.
+    Each of 83 daemons may make 7 calls a second. Ten late requests arrive,
+    and right after them four that are not late. In order of arrival the four
+    would be asked for last, after 1.1 to 1.7 s, each past its objective.
     """
 
     async def run() -> list[int]:
@@ -645,12 +664,12 @@
     with contextlib.closing(loop):
         order = loop.run_until_complete(run())
     last_fresh = max(order.index(number) for number in range(10, 14))
-    # Two turns were spare when the late ones came.
+    # The first two late requests use the burst that is allowed at once.
     return [] if last_fresh <= 6 else [f"asked in the order {order}"]
 
 
 def behind() -> list[str]:
-    """A daemon that is behind refuses what can wait, and nothing else."""
+    """A daemon whose event loop lags sheds only calls that can wait."""
     server = wire.PeerServer()
 
     async def answer(request):
@@ -672,18 +691,18 @@
                 found.append(name)
         wanted = ("place", "release") if refused is None else refused
         if tuple(found) != wanted:
-            faults.append(f"{late_s} s late: refused {found}")
+            faults.append(f"{late_s} s of lag: refused {found}")
     return faults
 
 
 class _SlowClock(wire.Clock):
-    """Each look at it takes 4 ms."""
+    """A clock that advances by 4 ms each time it is read."""
 
     def __init__(self) -> None:
         self._now = 100.0
 
     def now(self) -> float:
-        """Return the time, a little later each time."""
+        """Advance by 4 ms and return the time."""
         self._now += 0.004
         return self._now
 
@@ -693,9 +712,9 @@
 
 
 def hundreds_wait() -> list[str]:
-    """To decide for hundreds of waiters leaves the loop to others between.
+    """Decisions for hundreds of waiters yield to the event loop between.
 
-    Where each decision takes 4 ms, one turn decides for a few of 200.
+    If each decision takes 4 ms, one turn decides for a few of 200 waiters.
     """
 
     async def run() -> tuple[int, int]:
@@ -726,7 +745,7 @@
     with contextlib.closing(loop):
         left, due = loop.run_until_complete(run())
     if not (150 < left < 200 and due):
-        return [f"{left} are left, and the next turn is due: {due}"]
+        return [f"{left} waiters are left, next turn scheduled: {due}"]
     return []
 
 
@@ -754,7 +773,7 @@
 
 
 def unnoticed_switches() -> list[str]:
-    """Return the mechanisms that can be off without breaking their load."""
+    """Return the mechanisms whose load passes without them."""
     switched_off = {
         "learned pace": faster(learns=False),
         "further copies": asked_by_all(spread=False),
