--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -45,7 +45,7 @@
 Pace = _pace.Pace
 
 
-class EngineOfSpeed:
+class SimulatedEngine:
     """A simulated engine that reads prompts in order, at a given pace."""
 
     def __init__(self, pace: Pace) -> None:
@@ -58,8 +58,8 @@
         return self._free_at
 
 
-def _errors_of_belief(
-    engine: EngineOfSpeed, reading: _pace.Reading, requests: int
+def _estimate_errors(
+    engine: SimulatedEngine, reading: _pace.Reading, requests: int
 ) -> list[float]:
     """Return the errors of the estimated time to first token.
 
@@ -76,18 +76,18 @@
         due = [d for d in due if d[0] > now]
         tokens = rng.choice((600, 2_900, 9_000))
         key = ("entry", str(number))
-        believed_s = reading.backlog_s(now)
-        believed_s += reading.pace(now).read_s(tokens)
+        estimated_s = reading.backlog_s(now)
+        estimated_s += reading.pace(now).read_s(tokens)
         first_at = engine.first_at(tokens, now)
         reading.add(key, tokens, 0, now)
         due.append((first_at, key, now))
-        errors.append(abs(first_at - now - believed_s))
+        errors.append(abs(first_at - now - estimated_s))
     return errors
 
 
-def _late_errors(learns: bool, pace: Pace) -> float:
+def _mean_error_s(learns: bool, pace: Pace) -> float:
     reading = _pace.Reading(_pace.PoolPace(learns))
-    errors = _errors_of_belief(EngineOfSpeed(pace), reading, 200)
+    errors = _estimate_errors(SimulatedEngine(pace), reading, 200)
     return sum(errors[50:]) / len(errors[50:])
 
 
@@ -97,7 +97,7 @@
     The mean error of the estimated time to first token is 0.12 s with the
     initial estimate, and under 0.02 s once the pace is learned.
     """
-    error_s = _late_errors(learns, Pace(0.02, 38_000.0))
+    error_s = _mean_error_s(learns, Pace(0.02, 38_000.0))
     return [] if error_s < 0.02 else [f"mean error of {error_s:.3f} s"]
 
 
@@ -115,8 +115,8 @@
         reading.add(key, 3_000, 0, now)
         now += took_s
         reading.begun(key, took_s, now)
-    believed_s = reading.pace(now).read_s(3_000)
-    return [] if believed_s > 0.2 else [f"estimated {believed_s:.3f} s"]
+    estimated_s = reading.pace(now).read_s(3_000)
+    return [] if estimated_s > 0.2 else [f"estimated {estimated_s:.3f} s"]
 
 
 def slow_again() -> list[str]:
@@ -429,7 +429,7 @@
 # A lost leader, and daemons or leaders that are overloaded.
 
 
-class _NobodyLeads(wire.PeerTransport):
+class _NoLeaderTransport(wire.PeerTransport):
     """A transport that refuses and counts every call."""
 
     def __init__(self) -> None:
@@ -475,7 +475,7 @@
     """
 
     async def run() -> int:
-        transport = _NobodyLeads()
+        transport = _NoLeaderTransport()
         daemons = [_places.Places(_session(83), transport) for _ in range(83)]
         asking = [
             asyncio.create_task(places.take(_place_request(number)))
@@ -511,7 +511,7 @@
         began_at = loop.time()
         session = _session(83)
         session.silent_s.side_effect = lambda: loop.time() - began_at
-        places = _places.Places(session, _NobodyLeads())
+        places = _places.Places(session, _NoLeaderTransport())
         held = []
 
         async def ask(number: int) -> None:
@@ -584,7 +584,7 @@
         session.view.named_version.return_value = 7
         survey = _survey.Survey(ask, random.Random(1))
         places = _places.Places(
-            session, _NobodyLeads(), survey=survey if asks else None
+            session, _NoLeaderTransport(), survey=survey if asks else None
         )
         await asyncio.sleep(2.0)
         began = loop.time()
@@ -620,7 +620,7 @@
     return faults
 
 
-class _Asked(wire.PeerTransport):
+class _GrantingTransport(wire.PeerTransport):
     """A transport that grants every place and records the order of calls."""
 
     def __init__(self) -> None:
@@ -646,7 +646,7 @@
     """
 
     async def run() -> list[int]:
-        transport = _Asked()
+        transport = _GrantingTransport()
         places = _places.Places(_session(83), transport)
         late = [
             dataclasses.replace(_place_request(n), waited_s=1.5)
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -36,7 +36,7 @@
 Outcome = targets.OrderOutcome
 
 
-class WatchedEngine(targets.AdapterEngine):
+class RecordingEngine(targets.AdapterEngine):
     """One replica's client of an engine; records the holder of each fence."""
 
     def __init__(
@@ -61,7 +61,7 @@
         return await self._engine.unload(order)
 
 
-def turns_taken(accepted: list[tuple[float, str]], lease_s: float) -> list:
+def alternations(accepted: list[tuple[float, str]], lease_s: float) -> list:
     """Return where another holder ordered between two orders of one holder.
 
     Only orders within one lease count.
@@ -87,7 +87,7 @@
     return faults
 
 
-class ListedEngines(targets.InstanceList):
+class FixedInstanceList(targets.InstanceList):
     """An instance list with a fixed content."""
 
     def __init__(self, instances: tuple[targets.Instance, ...]) -> None:
@@ -116,14 +116,14 @@
         return self.up and self.replica.node.holds_lease()
 
 
-class Holders:
+class ReplicaCluster:
     """Runs three replicas with fake engines; an async context manager."""
 
     def __init__(
         self,
         seed: int,
         engines: int = 2,
-        luck: ledger.Luck = ledger.Luck(),
+        fault_rates: ledger.Luck = ledger.Luck(),
         **settings,
     ) -> None:
         self._seed = seed
@@ -135,14 +135,14 @@
             64, 100_000, 1e6, 3, 4.0, (catalogue.BaseModel(MODEL, 1, 1),)
         )
         self.engine_by_id = {
-            f"e{n}": ledger.EngineOracle(self.spec, luck, self.rng)
+            f"e{n}": ledger.EngineOracle(self.spec, fault_rates, self.rng)
             for n in range(engines)
         }
         self._holder_by_fence: dict[int, str] = {}
         self._settings = settings
         self.asked = 0
 
-    async def __aenter__(self) -> "Holders":
+    async def __aenter__(self) -> "ReplicaCluster":
         for place in self.places:
             await self.start(place, forms=True)
         first = await self.leader()
@@ -175,8 +175,8 @@
             settings,
             self.network,
             place.disk,
-            ListedEngines(instances),
-            lambda instance: WatchedEngine(
+            FixedInstanceList(instances),
+            lambda instance: RecordingEngine(
                 place.name,
                 self.engine_by_id[instance.id],
                 self._holder_by_fence,
@@ -257,7 +257,7 @@
             return False
         return True
 
-    async def ask_often(self) -> None:
+    async def ask_repeatedly(self) -> None:
         """Ask 20 times, whether served or not."""
         for _ in range(20):
             await self.ask(0.2)
@@ -285,106 +285,106 @@
         return [
             f"{target}: {fault}"
             for target in self.engine_by_id
-            for fault in turns_taken(self.accepted(target), LEASE_S)[:1]
+            for fault in alternations(self.accepted(target), LEASE_S)[:1]
         ]
 
 
 async def away_and_back() -> list[str]:
     """Leadership moves to another replica and back within one lease."""
-    async with Holders(1, engines=1) as holders:
-        first, other = await holders.ordering()
-        await holders.move_lead(other)
-        await holders.ask_until_served(2.0)
-        await holders.move_lead(first)
-        await holders.ask_often()
-        faults = holders.faults()
-        ordered = {holder for _, holder in holders.accepted("e0")}
+    async with ReplicaCluster(1, engines=1) as cluster:
+        first, other = await cluster.ordering()
+        await cluster.move_lead(other)
+        await cluster.ask_until_served(2.0)
+        await cluster.move_lead(first)
+        await cluster.ask_repeatedly()
+        faults = cluster.faults()
+        ordered = {holder for _, holder in cluster.accepted("e0")}
         if ordered != {first.name, other.name}:
             faults.append("Not both replicas issued orders.")
-        if await holders.ask_until_served(5.0) is None:
+        if await cluster.ask_until_served(5.0) is None:
             faults.append("It never ordered again.")
         return faults
 
 
 async def back_after_a_restart() -> list[str]:
     """A restarted process takes its start as the time of its last order."""
-    async with Holders(2, engines=1) as holders:
-        first, _ = await holders.ordering()
-        await holders.stop(first)
-        await holders.ask_until_served(4.0)
-        await holders.start(first)
+    async with ReplicaCluster(2, engines=1) as cluster:
+        first, _ = await cluster.ordering()
+        await cluster.stop(first)
+        await cluster.ask_until_served(4.0)
+        await cluster.start(first)
         await asyncio.sleep(0.3)
-        await holders.ask()
-        await holders.move_lead(first)
-        await holders.ask_often()
-        faults = holders.faults()
-        if {h for _, h in holders.accepted("e0")} == {first.name}:
+        await cluster.ask()
+        await cluster.move_lead(first)
+        await cluster.ask_repeatedly()
+        faults = cluster.faults()
+        if {h for _, h in cluster.accepted("e0")} == {first.name}:
             faults.append("No other replica issued orders meanwhile.")
-        if await holders.ask_until_served(5.0) is None:
+        if await cluster.ask_until_served(5.0) is None:
             faults.append("It never ordered again.")
         return faults
 
 
 async def handed_on_at_once() -> list[str]:
     """A replica that never issued orders does so as soon as it leads."""
-    async with Holders(3, engines=1) as holders:
-        _, other = await holders.ordering()
-        await holders.move_lead(other)
-        took_s = await holders.ask_until_served(3.0)
+    async with ReplicaCluster(3, engines=1) as cluster:
+        _, other = await cluster.ordering()
+        await cluster.move_lead(other)
+        took_s = await cluster.ask_until_served(3.0)
         if took_s is None or took_s > 1.5:
             return [f"The first order took {took_s} s."]
-        return holders.faults()
+        return cluster.faults()
 
 
 async def regained_at_once() -> list[str]:
     """A leader that is reelected without another between doesn't wait."""
-    async with Holders(4, engines=1) as holders:
-        first, _ = await holders.ordering()
+    async with ReplicaCluster(4, engines=1) as cluster:
+        first, _ = await cluster.ordering()
         node = first.replica.node
         node._become_follower(None)
-        await holders.move_lead(first)
-        took_s = await holders.ask_until_served(3.0)
+        await cluster.move_lead(first)
+        took_s = await cluster.ask_until_served(3.0)
         if took_s is None or took_s > 1.5:
             return [f"The next order took {took_s} s."]
-        return holders.faults()
+        return cluster.faults()
 
 
 async def all_restarted_at_once() -> list[str]:
     """No leader waits after all restart, if other holders' leases expired."""
     faults = []
     for seed in range(4):
-        async with Holders(seed, engines=1) as holders:
-            first = await holders.leader()
-            other = next(p for p in holders.places if p is not first)
-            await holders.ask_until_served(3.0)
-            await holders.move_lead(other)
-            await holders.ask_until_served(3.0)
+        async with ReplicaCluster(seed, engines=1) as cluster:
+            first = await cluster.leader()
+            other = next(p for p in cluster.places if p is not first)
+            await cluster.ask_until_served(3.0)
+            await cluster.move_lead(other)
+            await cluster.ask_until_served(3.0)
             await asyncio.sleep(6.0)
-            for place in holders.places:
-                await holders.stop(place)
-            for place in holders.places:
-                await holders.start(place)
-            await holders.leader()
-            took_s = await holders.ask_until_served(5.0)
+            for place in cluster.places:
+                await cluster.stop(place)
+            for place in cluster.places:
+                await cluster.start(place)
+            await cluster.leader()
+            took_s = await cluster.ask_until_served(5.0)
             if took_s is None or took_s > 1.5:
                 faults.append(f"seed {seed}: the first order took {took_s} s")
-            faults += holders.faults()
+            faults += cluster.faults()
     return faults
 
 
 async def noted_before_it_orders() -> list[str]:
     """A leader that can't record its tenure in the log issues no orders."""
-    async with Holders(1, engines=1) as holders:
-        first, other = await holders.ordering()
+    async with ReplicaCluster(1, engines=1) as cluster:
+        first, other = await cluster.ordering()
         node = other.replica.node
         request = quorum_messages.LeadRequest(node.member.id, node.term)
         await node.on_lead(request)
         while not other.leads():
             await asyncio.sleep(0.0005)
-        holders.network.isolate(other.address)
+        cluster.network.isolate(other.address)
         for _ in range(8):
-            await holders.ask_at(other, 0.05)
-        ordered = [h for _, h in holders.accepted("e0") if h == other.name]
+            await cluster.ask_at(other, 0.05)
+        ordered = [h for _, h in cluster.accepted("e0") if h == other.name]
         return [f"{len(ordered)} orders were sent"] if ordered else []
 
 
@@ -394,16 +394,16 @@
     Its own orders of the previous term may still be in flight.
     """
     faults = []
-    async with Holders(5, engines=1, order_quiet_s=LEASE_S) as holders:
-        first = await holders.leader()
-        await holders.ask_until_served(8.0)
+    async with ReplicaCluster(5, engines=1, order_quiet_s=LEASE_S) as cluster:
+        first = await cluster.leader()
+        await cluster.ask_until_served(8.0)
         first.replica.node._become_follower(None)
-        await holders.move_lead(first)
+        await cluster.move_lead(first)
         loop = asyncio.get_running_loop()
         regained_at = loop.time()
-        before = len(holders.accepted("e0"))
-        await holders.ask_until_served(8.0)
-        ordered_at = holders.accepted("e0")[before][0]
+        before = len(cluster.accepted("e0"))
+        await cluster.ask_until_served(8.0)
+        ordered_at = cluster.accepted("e0")[before][0]
         if ordered_at < regained_at + LEASE_S - 0.2:
             faults.append(
                 f"It ordered after {ordered_at - regained_at:.2f} s."
@@ -413,42 +413,44 @@
 
 async def resident_meanwhile() -> list[str]:
     """A leader that may not order yet still places on resident adapters."""
-    async with Holders(6, engines=1) as holders:
-        first, other = await holders.ordering()
-        known = f"a{holders.asked}"
-        await holders.move_lead(other)
-        await holders.ask_until_served(2.0)
-        await holders.move_lead(first)
-        if not await holders.ask_at(first, 0.5, known):
+    async with ReplicaCluster(6, engines=1) as cluster:
+        first, other = await cluster.ordering()
+        known = f"a{cluster.asked}"
+        await cluster.move_lead(other)
+        await cluster.ask_until_served(2.0)
+        await cluster.move_lead(first)
+        if not await cluster.ask_at(first, 0.5, known):
             return ["A request for a resident adapter was refused."]
-        return holders.faults()
+        return cluster.faults()
 
 
 async def random_elections(seed: int) -> list[str]:
     """Random elections, kills and lost disks under continuous requests."""
     # Orders whose answer is lost are executed nevertheless.
-    async with Holders(seed, luck=ledger.Luck(lost=0.1)) as holders:
+    async with ReplicaCluster(
+        seed, fault_rates=ledger.Luck(lost=0.1)
+    ) as cluster:
         rng = random.Random(seed)
-        await holders.ask_until_served(4.0)
-        asking = asyncio.create_task(_ask_for_ever(holders, rng))
+        await cluster.ask_until_served(4.0)
+        asking = asyncio.create_task(_ask_forever(cluster, rng))
         for _ in range(12):
             await asyncio.sleep(rng.uniform(0.1, 2.0))
-            place = rng.choice(holders.places)
-            luck = rng.random()
-            if luck < 0.6:
+            place = rng.choice(cluster.places)
+            draw = rng.random()
+            if draw < 0.6:
                 with contextlib.suppress(AssertionError):
-                    await holders.move_lead(place)
+                    await cluster.move_lead(place)
                 continue
-            await holders.stop(place)
-            if luck > 0.9:
+            await cluster.stop(place)
+            if draw > 0.9:
                 place.disk = standins.MemoryDisk(rng)
             await asyncio.sleep(rng.uniform(0.05, 1.5))
-            await holders.start(place)
+            await cluster.start(place)
             await asyncio.sleep(1.5)
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
-        faults = holders.faults()
-        if await holders.ask_until_served(8.0) is None:
+        faults = cluster.faults()
+        if await cluster.ask_until_served(8.0) is None:
             faults.append("No request was served at the end.")
         return [f"seed {seed}: {fault}" for fault in faults]
 
@@ -507,14 +509,14 @@
     for what, name, pause_s in steps:
         model.now += pause_s
         getattr(model, what)(name)
-    faults = turns_taken(model.accepted, LEASE_S)
+    faults = alternations(model.accepted, LEASE_S)
     assert not faults, faults[:1]
 
 
-async def _ask_for_ever(holders: Holders, rng: random.Random) -> None:
+async def _ask_forever(cluster: ReplicaCluster, rng: random.Random) -> None:
     while True:
         with contextlib.suppress(AssertionError):
-            await holders.ask(0.4)
+            await cluster.ask(0.4)
         await asyncio.sleep(rng.uniform(0.0, 0.2))
 
 
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -41,19 +41,19 @@
     Args:
         late: share of orders that are not answered and are executed later.
         lost: share of orders that are executed but whose answer is lost.
-        latest_s: longest delay of a late order, in seconds.
+        max_delay_s: longest delay of a late order, in seconds.
     """
 
     late: float = 0.0
     lost: float = 0.0
-    latest_s: float = 12.0
+    max_delay_s: float = 12.0
 
 
 class EngineOracle(targets.AdapterEngine):
     """Executes orders and records each load that exceeds its slots."""
 
     def __init__(
-        self, spec: catalogue.EngineSpec, luck: Luck, rng: random.Random
+        self, spec: catalogue.EngineSpec, fault_rates: Luck, rng: random.Random
     ) -> None:
         self.faults: list[str] = []
         self.sequence = 0
@@ -63,7 +63,7 @@
         self._copies: set[str] = set()
         self._fence = 0
         self._spec = spec
-        self.luck = luck
+        self.fault_rates = fault_rates
         self._rng = rng
         self._leaving: set[str] = set()
         self._history: list[tuple[float, targets.AdapterReport]] = []
@@ -78,7 +78,7 @@
         self._on_disk = False
         self.born_ms: int | None = None
         self._start = 0
-        self._note()
+        self._record_report()
 
     def restart(self, born_ms: int | None) -> None:
         """Restart under the same name without adapters or a base model.
@@ -93,20 +93,20 @@
             held.clear()
         self._copies.clear()
         self._leaving.clear()
-        self.forget_model(on_disk=False)
+        self.drop_model(on_disk=False)
 
-    def forget_model(self, on_disk: bool) -> None:
+    def drop_model(self, on_disk: bool) -> None:
         """Drop the base model and the past reports."""
         self.model_loaded = False
         self._on_disk = on_disk
         self._history.clear()
-        self._note()
+        self._record_report()
 
     def _load_model(self) -> Outcome:
         if self.model_loaded:
             return Outcome.HOLDS
         self.fetching = not self._on_disk
-        self._later(MODEL_S, self._model_loaded, self._start)
+        self._call_later(MODEL_S, self._model_loaded, self._start)
         return Outcome.STARTED
 
     def _model_loaded(self, start: int) -> None:
@@ -115,7 +115,7 @@
         self.model_loaded, self.fetching = True, False
         self.model_at = asyncio.get_running_loop().time()
         self.sequence += 1
-        self._note()
+        self._record_report()
 
     async def report(self) -> targets.AdapterReport:
         await asyncio.sleep(0.002)
@@ -125,37 +125,37 @@
         return old[-1] if old else self._history[0][1]
 
     async def load(self, order: targets.EngineOrder) -> Outcome:
-        return await self._take(order, self._load)
+        return await self._receive(order, self._load)
 
     async def unload(self, order: targets.EngineOrder) -> Outcome:
-        return await self._take(order, self._unload)
+        return await self._receive(order, self._unload)
 
-    async def _take(self, order, carry_out) -> Outcome:
+    async def _receive(self, order, execute) -> Outcome:
         await asyncio.sleep(0.001)
         if not order.gate():
             raise wire.NotSentError("The order may no longer be sent.")
 
-        def carry_out_noted(order: targets.EngineOrder) -> Outcome:
-            outcome = carry_out(order)
+        def execute_and_record(order: targets.EngineOrder) -> Outcome:
+            outcome = execute(order)
             if outcome in (Outcome.STARTED, Outcome.HOLDS):
                 now = asyncio.get_running_loop().time()
                 self.accepted.append((now, order.fence))
             return outcome
 
-        luck = self._rng.random()
-        if luck < self.luck.late:
-            delay_s = self._rng.uniform(2.0, self.luck.latest_s)
-            self._later(delay_s, carry_out_noted, order)
+        draw = self._rng.random()
+        if draw < self.fault_rates.late:
+            delay_s = self._rng.uniform(2.0, self.fault_rates.max_delay_s)
+            self._call_later(delay_s, execute_and_record, order)
             await asyncio.sleep(0.2)
             raise wire.PeerLostError("The order was not answered.")
-        outcome = carry_out_noted(order)
-        if luck < self.luck.late + self.luck.lost:
+        outcome = execute_and_record(order)
+        if draw < self.fault_rates.late + self.fault_rates.lost:
             await asyncio.sleep(0.2)
             raise wire.PeerLostError("The answer was lost.")
         await asyncio.sleep(0.001)
         return outcome
 
-    def _later(self, delay_s: float, work, *args) -> None:
+    def _call_later(self, delay_s: float, work, *args) -> None:
         async def wait() -> None:
             await asyncio.sleep(delay_s)
             work(*args)
@@ -164,7 +164,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _expected(self, order: targets.EngineOrder) -> Outcome | None:
+    def _check_order(self, order: targets.EngineOrder) -> Outcome | None:
         if order.fence < self._fence:
             return Outcome.FENCED
         self._fence = order.fence
@@ -175,7 +175,7 @@
         return None
 
     def _load(self, order: targets.EngineOrder) -> Outcome:
-        refused = self._expected(order)
+        refused = self._check_order(order)
         if refused is not None:
             return refused
         if not order.adapter:
@@ -193,8 +193,8 @@
         self.sequence += 1
         self.pending[name] = version
         delay_s = COPY_S if name in self._copies else STORE_S
-        self._later(delay_s, self._loaded, name, version, self._start)
-        self._note()
+        self._call_later(delay_s, self._loaded, name, version, self._start)
+        self._record_report()
         return Outcome.STARTED
 
     def _loaded(self, name: str, version: int, start: int) -> None:
@@ -204,20 +204,20 @@
             del self.pending[name]
             self.ready[name] = version
             self._copies.add(name)
-            self._note()
+            self._record_report()
 
     def _unload(self, order: targets.EngineOrder) -> Outcome:
-        refused = self._expected(order)
+        refused = self._check_order(order)
         if refused is not None:
             return refused
         self.sequence += 1
         if self.running.get(order.adapter):
             self._leaving.add(order.adapter)
             self.unloads_in_use += 1
-            self._note()
+            self._record_report()
             return Outcome.STARTED
         self.ready.pop(order.adapter, None)
-        self._note()
+        self._record_report()
         return Outcome.HOLDS
 
     def begin(self, name: str) -> bool:
@@ -225,7 +225,7 @@
         if name not in self.ready or name in self._leaving:
             return False
         self.running[name] = self.running.get(name, 0) + 1
-        self._note()
+        self._record_report()
         return True
 
     def end(self, name: str) -> None:
@@ -233,13 +233,13 @@
         if not self.running.get(name):
             return
         self.running[name] -= 1
-        self._note()
+        self._record_report()
         if not self.running[name] and name in self._leaving:
             self._leaving.discard(name)
             self.ready.pop(name, None)
-            self._note()
+            self._record_report()
 
-    def _note(self) -> None:
+    def _record_report(self) -> None:
         def held(adapters: dict[str, int]) -> tuple[targets.HeldAdapter, ...]:
             return tuple(
                 targets.HeldAdapter(MODEL, name, version)
@@ -263,7 +263,7 @@
         self._history.append((now, report))
 
 
-class StandingLeader(placement.Leadership):
+class FakeLeadership(placement.Leadership):
     """A leadership whose term and state are set by the test."""
 
     def __init__(self) -> None:
@@ -281,13 +281,13 @@
         return wire.NotLeaderError("This replica is not the leader.")
 
 
-class Ledger:
+class PlacerHarness:
     """Runs a placer with fake engines; an async context manager."""
 
     def __init__(
         self,
         seed: int,
-        luck: Luck,
+        fault_rates: Luck,
         engines: int = 2,
         slots: int = 3,
         quiet_s: float = 0.0,
@@ -296,7 +296,7 @@
         self.spec = catalogue.EngineSpec(
             64, 100_000, 1e6, slots, 4.0, (catalogue.BaseModel(MODEL, 1, 1),)
         )
-        self.leader = StandingLeader()
+        self.leader = FakeLeadership()
         self.machine = catalogue.CatalogueMachine()
         self.engine_by_id: dict[str, EngineOracle] = {}
         self.infos = tuple(
@@ -304,7 +304,7 @@
             for n in range(engines)
         )
         for info in self.infos:
-            engine = EngineOracle(self.spec, luck, self.rng)
+            engine = EngineOracle(self.spec, fault_rates, self.rng)
             self.engine_by_id[info.id] = engine
         self._put_routes()
         self.placer = placement.Placer(
@@ -340,7 +340,7 @@
         name = targets.Incarnation.of(instance.id).name
         return self.engine_by_id[name]
 
-    async def __aenter__(self) -> "Ledger":
+    async def __aenter__(self) -> "PlacerHarness":
         await self.placer.__aenter__()
         self.placer.targets_changed(self.infos)
         return self
@@ -417,36 +417,36 @@
         ]
 
 
-async def random_load(seed: int, luck: Luck) -> list[str]:
+async def random_load(seed: int, fault_rates: Luck) -> list[str]:
     """Request more adapters than there are slots, at random times.
 
     Once the faults have ended, a request for each adapter must be served.
     """
-    async with Ledger(seed, luck) as ledger:
+    async with PlacerHarness(seed, fault_rates) as harness:
         await asyncio.sleep(2.0)
         tasks = []
         for number in range(80):
-            adapter = f"a{ledger.rng.randrange(12)}"
+            adapter = f"a{harness.rng.randrange(12)}"
             if number % 17 == 16:
-                ledger.name_version(adapter, 2 + number)
+                harness.name_version(adapter, 2 + number)
             tasks.append(
                 asyncio.create_task(
-                    ledger.request(adapter, ledger.rng.uniform(0.05, 0.6))
+                    harness.request(adapter, harness.rng.uniform(0.05, 0.6))
                 )
             )
-            await asyncio.sleep(ledger.rng.uniform(0.0, 0.25))
+            await asyncio.sleep(harness.rng.uniform(0.0, 0.25))
         await asyncio.gather(*tasks)
-        for engine in ledger.engine_by_id.values():
-            engine.luck = Luck()
+        for engine in harness.engine_by_id.values():
+            engine.fault_rates = Luck()
         await asyncio.sleep(14.0)
-        served = ledger.served
+        served = harness.served
         await asyncio.gather(
-            *(ledger.request(f"a{n}", 0.05) for n in range(12))
+            *(harness.request(f"a{n}", 0.05) for n in range(12))
         )
-        faults = ledger.check()
-        if ledger.served < served + 12:
+        faults = harness.check()
+        if harness.served < served + 12:
             faults.append(
-                f"only {ledger.served - served} of 12 requests were served "
+                f"only {harness.served - served} of 12 requests were served "
                 "after the faults ended"
             )
         return faults
@@ -458,40 +458,40 @@
     The load is still waiting for the lock of the engine's orders when the
     ledger is settled.
     """
-    async with Ledger(1, Luck(), engines=1, slots=2) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
-        (orders,) = ledger.placer._orders_by_target.values()
+        (orders,) = harness.placer._orders_by_target.values()
         now = asyncio.get_running_loop().time()
         async with orders._lock:
             orders.start_load((MODEL, "a1"), None, None, now)
             orders.settle()
             await asyncio.sleep(1.5)
         await asyncio.sleep(0.5)
-        sent = ledger.engine_by_id["e0"].sequence
+        sent = harness.engine_by_id["e0"].sequence
         return [f"{sent} orders were sent."] if sent else []
 
 
 async def no_order_without_lead() -> list[str]:
     """A placer that lost leadership sends none of its planned orders."""
-    async with Ledger(1, Luck(), engines=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1) as harness:
         await asyncio.sleep(2.0)
-        (orders,) = ledger.placer._orders_by_target.values()
+        (orders,) = harness.placer._orders_by_target.values()
         now = asyncio.get_running_loop().time()
         orders.start_load((MODEL, "a1"), None, None, now)
-        ledger.leader.leads = False
+        harness.leader.leads = False
         await asyncio.sleep(2.0)
-        sent = ledger.engine_by_id["e0"].sequence
+        sent = harness.engine_by_id["e0"].sequence
         return [f"{sent} orders were sent."] if sent else []
 
 
 async def deposed_in_a_load() -> list[str]:
     """A placer that loses leadership during a load stops polling reports."""
-    async with Ledger(1, Luck(), engines=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1) as harness:
         await asyncio.sleep(2.0)
-        asking = asyncio.create_task(ledger.request("a1", 0.1))
+        asking = asyncio.create_task(harness.request("a1", 0.1))
         await asyncio.sleep(0.1)
-        ledger.leader.leads = False
-        engine = ledger.engine_by_id["e0"]
+        harness.leader.leads = False
+        engine = harness.engine_by_id["e0"]
         before = engine.reports
         await asyncio.sleep(5.0)
         await asking
@@ -501,72 +501,72 @@
 
 async def lead_in_doubt() -> list[str]:
     """A placer resumes orders after a short loss of confirmed leadership."""
-    async with Ledger(1, Luck(), engines=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1) as harness:
         await asyncio.sleep(2.0)
-        asking = asyncio.create_task(ledger.request("a1", 0.1))
+        asking = asyncio.create_task(harness.request("a1", 0.1))
         await asyncio.sleep(0.1)
-        ledger.leader.leads = False
+        harness.leader.leads = False
         await asyncio.sleep(0.6)
-        ledger.leader.leads = True
+        harness.leader.leads = True
         await asking
         await asyncio.sleep(1.0)
         for number in range(1, 6):
-            await ledger.request(f"a{number}", 0.1)
-        return [] if ledger.served >= 5 else [f"only {ledger.served} served"]
+            await harness.request(f"a{number}", 0.1)
+        return [] if harness.served >= 5 else [f"only {harness.served} served"]
 
 
 async def quiet_new_holder() -> list[str]:
     """A new leader waits before it orders engines that check no fences."""
-    async with Ledger(1, Luck(), engines=1, quiet_s=3.0) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1, quiet_s=3.0) as harness:
         await asyncio.sleep(0.5)
-        asking = asyncio.create_task(ledger.request("a1", 0.1, 6.0))
+        asking = asyncio.create_task(harness.request("a1", 0.1, 6.0))
         await asyncio.sleep(2.0)
-        engine = ledger.engine_by_id["e0"]
+        engine = harness.engine_by_id["e0"]
         faults = (
             ["An order was sent within the wait."] if engine.sequence else []
         )
         await asking
-        if not ledger.served:
+        if not harness.served:
             faults.append("The request was not served after the wait.")
         return faults
 
 
 async def taken_over() -> list[str]:
     """A new leader evicts no adapter whose uses are not reported yet."""
-    async with Ledger(1, Luck(), engines=1, slots=2) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
-        await ledger.request("a1", 0.1)
-        long = asyncio.create_task(ledger.request("a0", 4.0))
+        await harness.request("a1", 0.1)
+        long = asyncio.create_task(harness.request("a0", 4.0))
         await asyncio.sleep(1.0)
         use = control.Use("r2", "e0", MODEL, "a0", 120)
-        ledger.leader.number = 2
-        ledger.placer.targets_changed(ledger.infos)
-        others = asyncio.create_task(ledger.request("a2", 0.1))
+        harness.leader.number = 2
+        harness.placer.targets_changed(harness.infos)
+        others = asyncio.create_task(harness.request("a2", 0.1))
         await asyncio.sleep(0.9)
         for _ in range(10):
-            ledger.placer.take_uses("entry-1", (use,))
+            harness.placer.take_uses("entry-1", (use,))
             await asyncio.sleep(0.3)
         await asyncio.gather(long, others)
-        engine = ledger.engine_by_id["e0"]
+        engine = harness.engine_by_id["e0"]
         faults = []
         if engine.unloads_in_use:
             faults.append("An adapter in use was unloaded.")
-        if ledger.served < 3:
-            faults.append(f"Only {ledger.served} of 3 were served.")
+        if harness.served < 3:
+            faults.append(f"Only {harness.served} of 3 were served.")
         return faults
 
 
 async def taken_over_idle() -> list[str]:
     """A new leader evicts at once on an engine that reports no runs."""
-    async with Ledger(1, Luck(), engines=1, slots=2) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
-        await ledger.request("a0", 0.1)
-        await ledger.request("a1", 0.1)
+        await harness.request("a0", 0.1)
+        await harness.request("a1", 0.1)
         await asyncio.sleep(1.0)
-        ledger.leader.number = 2
-        ledger.placer.targets_changed(ledger.infos)
+        harness.leader.number = 2
+        harness.placer.targets_changed(harness.infos)
         before = asyncio.get_running_loop().time()
-        await ledger.request("a2", 0.0)
+        await harness.request("a2", 0.0)
         took_s = asyncio.get_running_loop().time() - before
         return [f"The request took {took_s:.2f} s."] if took_s > 0.5 else []
 
@@ -577,29 +577,29 @@
     A request that can still meet its objective goes first, although it
     arrived after the retried one.
     """
-    async with Ledger(1, Luck(), engines=1, slots=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
-        busy = asyncio.create_task(ledger.request("a1", 0.4))
+        busy = asyncio.create_task(harness.request("a1", 0.4))
         await asyncio.sleep(0.3)
-        back = asyncio.create_task(ledger.request("a2", 0.1, age_s=2.0))
+        back = asyncio.create_task(harness.request("a2", 0.1, age_s=2.0))
         await asyncio.sleep(0.05)
-        await ledger.request("a3", 0.0)
+        await harness.request("a3", 0.0)
         faults = ["The retried request went first."] if back.done() else []
         await asyncio.gather(busy, back)
-        if ledger.served < 3:
-            faults.append(f"Only {ledger.served} of 3 were served.")
+        if harness.served < 3:
+            faults.append(f"Only {harness.served} of 3 were served.")
         return faults
 
 
 async def long_prompt_goes_sooner() -> list[str]:
     """A long prompt goes first, as it must begin sooner to be on time."""
-    async with Ledger(1, Luck(), engines=1, slots=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
-        busy = asyncio.create_task(ledger.request("a1", 0.2))
+        busy = asyncio.create_task(harness.request("a1", 0.2))
         await asyncio.sleep(0.3)
-        short = asyncio.create_task(ledger.request("a2", 0.1))
+        short = asyncio.create_task(harness.request("a2", 0.1))
         await asyncio.sleep(0.05)
-        await ledger.request("a3", 0.0, prompt_tokens=5000)
+        await harness.request("a3", 0.0, prompt_tokens=5000)
         faults = ["The short prompt went first."] if short.done() else []
         await asyncio.gather(busy, short)
         return faults
@@ -607,20 +607,20 @@
 
 async def full_home() -> list[str]:
     """A request goes to another engine if its home engine stays full."""
-    async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         long = [
-            asyncio.create_task(ledger.request("a1", 10.0)),
+            asyncio.create_task(harness.request("a1", 10.0)),
         ]
         await asyncio.sleep(0.5)
-        for orders in ledger.placer._orders_by_target.values():
+        for orders in harness.placer._orders_by_target.values():
             if orders.holding.slot_by_name:
                 orders.holding.remember_copy((MODEL, "a2"))
         before = asyncio.get_running_loop().time()
-        await ledger.request("a2", 0.0)
+        await harness.request("a2", 0.0)
         took_s = asyncio.get_running_loop().time() - before
         await asyncio.gather(*long)
-        if ledger.refused or took_s > 1.5:
+        if harness.refused or took_s > 1.5:
             return [f"The request waited {took_s:.1f} s for its full home."]
         return []
 
@@ -632,24 +632,24 @@
     second count would be left over after the only release, and its prompt
     would stay in the estimated backlog of an engine that never reads it.
     """
-    async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
-        ask = ledger.ask("a1")
-        lost = await ledger.placer.on_place(ask)
-        await ledger.placer.on_place(ask)
+        ask = harness.ask("a1")
+        lost = await harness.placer.on_place(ask)
+        await harness.placer.on_place(ask)
         ask = dataclasses.replace(ask, avoid=(lost.target,))
-        place = await ledger.placer.on_place(ask)
+        place = await harness.placer.on_place(ask)
         ended = placement.EndedUse(
             ask.request, place.target, placement.UseOutcome.DONE
         )
-        await ledger.placer.on_release(
+        await harness.placer.on_release(
             placement.ReleaseRequest("entry-1", (ended,))
         )
         await asyncio.sleep(3.0)
         now = asyncio.get_running_loop().time()
         return [
             f"{target} still counts: {summary}"
-            for target, orders in ledger.placer._orders_by_target.items()
+            for target, orders in harness.placer._orders_by_target.items()
             if "running=0 tokens=0 used=0"
             not in (summary := orders.holding.summary(now))
             or orders.holding.reading.backlog_s(now) > 0.0
@@ -658,10 +658,10 @@
 
 async def models_in_turn() -> list[str]:
     """The store serves one base model at a time; local disks don't wait."""
-    async with Ledger(1, Luck(), engines=5) as ledger:
-        engines = list(ledger.engine_by_id.values())
+    async with PlacerHarness(1, Luck(), engines=5) as harness:
+        engines = list(harness.engine_by_id.values())
         for number, engine in enumerate(engines):
-            engine.forget_model(on_disk=number >= 3)
+            engine.drop_model(on_disk=number >= 3)
         most = 0
         for _ in range(100):
             await asyncio.sleep(0.1)
@@ -681,21 +681,21 @@
 
     Otherwise the event loop of the leader has no time for other work.
     """
-    async with Ledger(1, Luck(), engines=2, slots=1) as ledger:
+    async with PlacerHarness(1, Luck(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         decided = 0
-        pump = ledger.placer._pump
+        pump = harness.placer._pump
 
         def counted() -> None:
             nonlocal decided
             decided += 1
             pump()
-            ledger.placer._pump_took_s = 0.02
+            harness.placer._pump_took_s = 0.02
 
-        ledger.placer._pump = counted
-        ledger.placer._pump_took_s = 0.02
+        harness.placer._pump = counted
+        harness.placer._pump_took_s = 0.02
         tasks = [
-            asyncio.create_task(ledger.request(f"a{n}", 0.1, 1.0))
+            asyncio.create_task(harness.request(f"a{n}", 0.1, 1.0))
             for n in range(200)
         ]
         await asyncio.gather(*tasks)
@@ -704,16 +704,16 @@
 
 async def named_version() -> list[str]:
     """A new default version applies to new runs within 2 s."""
-    async with Ledger(1, Luck()) as ledger:
+    async with PlacerHarness(1, Luck()) as harness:
         await asyncio.sleep(2.0)
-        await ledger.request("a1", 0.1)
-        ledger.name_version("a1", 7)
-        busy = asyncio.create_task(ledger.request("a1", 3.0))
+        await harness.request("a1", 0.1)
+        harness.name_version("a1", 7)
+        busy = asyncio.create_task(harness.request("a1", 3.0))
         await asyncio.sleep(2.0)
         ask = placement.PlaceRequest(
             "entry-1", "late", POOL, MODEL, "a1", 9, 9, (), 0, 4.0, "mnl-a"
         )
-        place = await ledger.placer.on_place(ask)
+        place = await harness.placer.on_place(ask)
         await busy
         return (
             []
@@ -722,12 +722,14 @@
         )
 
 
-def _blind(orders, name, version, expected) -> targets.EngineOrder:
+def _order_without_expected(
+    orders, name, version, expected
+) -> targets.EngineOrder:
     """Return an order without the expected sequence, for a mutant."""
-    return _ORDER(orders, name, version, None)
+    return _ORIGINAL_ORDER(orders, name, version, None)
 
 
-_ORDER = placement.EngineOrders._order
+_ORIGINAL_ORDER = placement.EngineOrders._order
 
 # Mutants, each of which disables a guard: name, scenario that must then
 # fail, patched attribute.
@@ -786,7 +788,7 @@
     (
         "say nothing of what is expected",
         "random",
-        (placement.EngineOrders, "_order", _blind),
+        (placement.EngineOrders, "_order", _order_without_expected),
     ),
 )
 
@@ -813,12 +815,12 @@
     """Run a scenario in virtual time."""
     loop = looptime.new_event_loop()
     try:
-        return loop.run_until_complete(_then_cancel_all(work))
+        return loop.run_until_complete(_run_and_cancel_tasks(work))
     finally:
         loop.close()
 
 
-async def _then_cancel_all(work) -> list[str]:
+async def _run_and_cancel_tasks(work) -> list[str]:
     """Return the result of the work, after cancelling its other tasks."""
     try:
         return await work
@@ -851,6 +853,6 @@
 def run_random(seed: int) -> list[str]:
     """Run a random load with fault rates chosen by the seed."""
     rng = random.Random(seed)
-    luck = Luck(rng.choice((0, 0.1, 0.35)), rng.choice((0, 0.1, 0.3)))
-    faults = run(random_load(seed, luck))
-    return [f"seed {seed}, {luck}: {fault}" for fault in faults]
+    fault_rates = Luck(rng.choice((0, 0.1, 0.35)), rng.choice((0, 0.1, 0.3)))
+    faults = run(random_load(seed, fault_rates))
+    return [f"seed {seed}, {fault_rates}: {fault}" for fault in faults]
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -21,32 +21,35 @@
 BORN_MS = 1_700_000_000_000
 LATER_MS = 60_000
 # Time to reload the base model and one adapter after a restart.
-BACK_S = ledger.MODEL_S + 3.0
+RELOAD_S = ledger.MODEL_S + 3.0
 ADDRESS = "10.1.0.1:1"
 
 
-class StartLedger(ledger.Ledger):
+class RestartHarness(ledger.PlacerHarness):
     """A placer with fake engines and a list of their start times."""
 
     def __init__(
-        self, seed: int, luck: ledger.Luck = ledger.Luck(), engines: int = 1
+        self,
+        seed: int,
+        fault_rates: ledger.Luck = ledger.Luck(),
+        engines: int = 1,
     ) -> None:
-        super().__init__(seed, luck, engines)
+        super().__init__(seed, fault_rates, engines)
         self.fleet = control.Fleet()
         self.listed_by_name: dict[str, int | None] = {}
         for name, engine in self.engine_by_id.items():
             engine.restart(BORN_MS)
             engine.model_loaded = True
-            engine._note()
+            engine._record_report()
             self.listed_by_name[name] = BORN_MS
-        self.placer.on_new_start(self._take_word)
+        self.placer.on_new_start(self._new_start)
 
-    async def __aenter__(self) -> "StartLedger":
+    async def __aenter__(self) -> "RestartHarness":
         await self.placer.__aenter__()
         self.read_list()
         return self
 
-    def _take_word(self, target: str, born_ms: int) -> None:
+    def _new_start(self, target: str, born_ms: int) -> None:
         self.fleet.started(target, born_ms)
         self._publish()
 
@@ -94,10 +97,10 @@
     return targets.Instance(str(start), ledger.POOL, ADDRESS, "mnl-a")
 
 
-async def _serves_anew(world: StartLedger) -> list[str]:
+async def _serves_anew(world: RestartHarness) -> list[str]:
     """Return what the placer kept from before an engine's restart."""
     (engine,) = world.engine_by_id.values()
-    await world.request("a0", 0.05, BACK_S)
+    await world.request("a0", 0.05, RELOAD_S)
     if not world.served:
         return ["The request was refused, or its adapter was not loaded."]
     (holding,) = world.holdings
@@ -119,7 +122,7 @@
 
 async def told_by_the_engine() -> list[str]:
     """The engine reports a later start while the list still lags."""
-    async with StartLedger(1) as world:
+    async with RestartHarness(1) as world:
         await world.fill()
         world.served = 0
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
@@ -137,7 +140,7 @@
 
 async def told_by_the_list() -> list[str]:
     """The list is the first to show a later start."""
-    async with StartLedger(1) as world:
+    async with RestartHarness(1) as world:
         await world.fill()
         world.served = 0
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
@@ -148,7 +151,7 @@
 
 async def told_by_neither() -> list[str]:
     """No start time is known; fewer orders and no adapters show a restart."""
-    async with StartLedger(1) as world:
+    async with RestartHarness(1) as world:
         world.listed_by_name["e0"] = None
         world.engine_by_id["e0"].restart(None)
         world.read_list()
@@ -161,7 +164,7 @@
 
 async def told_the_same() -> list[str]:
     """A start that is listed again, or not listed, discards no ledger."""
-    async with StartLedger(1) as world:
+    async with RestartHarness(1) as world:
         await world.fill()
         before = world.holdings
         for told in (BORN_MS, None, BORN_MS):
@@ -175,7 +178,7 @@
 
 async def told_late() -> list[str]:
     """A start time that is listed late may be that of the known start."""
-    async with StartLedger(1) as world:
+    async with RestartHarness(1) as world:
         world.fleet = control.Fleet()
         world.listed_by_name["e0"] = None
         world.read_list()
@@ -201,22 +204,22 @@
 }
 
 
-async def random_starts(seed: int, tells: bool) -> list[str]:
+async def random_starts(seed: int, with_start_times: bool) -> list[str]:
     """Random requests while engines restart under the same names.
 
     Args:
         tells: whether the engines and the list give start times.
     """
     rng = random.Random(seed)
-    luck = ledger.Luck(rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0)
-    async with StartLedger(seed, luck, 2) as world:
-        if not tells:
-            _hush(world)
+    fault_rates = ledger.Luck(rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0)
+    async with RestartHarness(seed, fault_rates, 2) as world:
+        if not with_start_times:
+            _remove_start_times(world)
         await asyncio.sleep(2.0)
         tasks = []
         for number in range(80):
             if number % 16 == 12:
-                _restart_one(world, rng, tells)
+                _restart_one(world, rng, with_start_times)
             if number % 5 == 0:
                 world.read_list()
             work = world.request(
@@ -226,11 +229,11 @@
             await asyncio.sleep(rng.uniform(0.0, 0.25))
         await asyncio.gather(*tasks)
         for name, engine in world.engine_by_id.items():
-            engine.luck = ledger.Luck()
+            engine.fault_rates = ledger.Luck()
             world.listed_by_name[name] = engine.born_ms
         await asyncio.sleep(14.0)
         world.read_list()
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RELOAD_S)
         served = world.served
         await asyncio.gather(*(world.request(f"a{n}", 0.05) for n in range(8)))
         faults = world.check()
@@ -245,22 +248,24 @@
         return faults
 
 
-def _hush(world: StartLedger) -> None:
+def _remove_start_times(world: RestartHarness) -> None:
     """Remove all start times from the engines and the list."""
     world.fleet = control.Fleet()
     for name, engine in world.engine_by_id.items():
         engine.restart(None)
         engine.model_loaded = True
-        engine._note()
+        engine._record_report()
         world.listed_by_name[name] = None
     world.read_list()
 
 
-def _restart_one(world: StartLedger, rng: random.Random, tells: bool) -> None:
+def _restart_one(
+    world: RestartHarness, rng: random.Random, with_start_times: bool
+) -> None:
     """Restart an engine; the list shows it now, later or never."""
     name = rng.choice(list(world.engine_by_id))
     engine = world.engine_by_id[name]
-    if not tells:
+    if not with_start_times:
         engine.restart(None)
         return
     engine.restart(engine.born_ms + LATER_MS)
@@ -276,9 +281,9 @@
 def run_random(seed: int) -> list[str]:
     """Run random loads with engines that restart."""
     return [
-        f"seed {seed}, start times known {tells}: {fault}"
-        for tells in (True, False)
-        for fault in ledger.run(random_starts(seed, tells))
+        f"seed {seed}, start times known {with_start_times}: {fault}"
+        for with_start_times in (True, False)
+        for fault in ledger.run(random_starts(seed, with_start_times))
     ]
 
 
@@ -339,7 +344,7 @@
     assert targets.Incarnation.of(str(start)) == start, start
 
 
-def _take_no_word(orders, *_) -> collections.abc.Awaitable:
+def _report_unchecked(orders, *_) -> collections.abc.Awaitable:
     return orders._engine.report()
 
 
@@ -354,7 +359,7 @@
     (
         "believe a report of whichever start",
         "told_by_the_engine",
-        (placement.EngineOrders, "_report", _take_no_word),
+        (placement.EngineOrders, "_report", _report_unchecked),
     ),
     (
         "know an engine by its name alone",
