--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -394,7 +394,9 @@
     Its own orders of the previous term may still be in flight.
     """
     faults = []
-    async with ReplicaCluster(5, engines=1, order_quiet_s=LEASE_S) as cluster:
+    async with ReplicaCluster(
+        5, engines=1, initial_order_delay_s=LEASE_S
+    ) as cluster:
         first = await cluster.leader()
         await cluster.ask_until_served(8.0)
         first.replica.node._become_follower(None)
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -76,17 +76,17 @@
         self.model_at = 0.0
         self.fetching = False
         self._on_disk = False
-        self.born_ms: int | None = None
+        self.start_time_ms: int | None = None
         self._start = 0
         self._record_report()
 
-    def restart(self, born_ms: int | None) -> None:
+    def restart(self, start_time_ms: int | None) -> None:
         """Restart under the same name without adapters or a base model.
 
         Orders that were not answered may still be executed.
         """
         self._start += 1
-        self.born_ms = born_ms
+        self.start_time_ms = start_time_ms
         self.sequence = 0
         self._fence = 0
         for held in (self.ready, self.pending, self.running):
@@ -240,9 +240,11 @@
             self._record_report()
 
     def _record_report(self) -> None:
-        def held(adapters: dict[str, int]) -> tuple[targets.HeldAdapter, ...]:
+        def held(
+            adapters: dict[str, int],
+        ) -> tuple[targets.ReportedAdapter, ...]:
             return tuple(
-                targets.HeldAdapter(MODEL, name, version)
+                targets.ReportedAdapter(MODEL, name, version)
                 for name, version in adapters.items()
             )
 
@@ -254,7 +256,7 @@
             self.sequence,
             running=sum(self.running.values()),
             at_hand=(MODEL,) if self._on_disk else (),
-            born_ms=self.born_ms,
+            start_time_ms=self.start_time_ms,
         )
         try:
             now = asyncio.get_running_loop().time()
@@ -311,7 +313,7 @@
             self.leader,
             lambda: self.machine.view,
             self.engine_of,
-            placement.HomePolicy(),
+            placement.CopyAffinityPolicy(),
             observe.Metrics(),
             tenure=placement.Tenure(0.0, 0.0, quiet_s),
         )
@@ -684,16 +686,16 @@
     async with PlacerHarness(1, Luck(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         decided = 0
-        pump = harness.placer._pump
+        pump = harness.placer._schedule
 
         def counted() -> None:
             nonlocal decided
             decided += 1
             pump()
-            harness.placer._pump_took_s = 0.02
+            harness.placer._schedule_took_s = 0.02
 
-        harness.placer._pump = counted
-        harness.placer._pump_took_s = 0.02
+        harness.placer._schedule = counted
+        harness.placer._schedule_took_s = 0.02
         tasks = [
             asyncio.create_task(harness.request(f"a{n}", 0.1, 1.0))
             for n in range(200)
@@ -757,7 +759,7 @@
     (
         "decide at once, always",
         "storm_of_waiters",
-        (_placer, "PUMP_SPACING", 0.0),
+        (_placer, "SCHEDULE_SPACING", 0.0),
     ),
     (
         "begin on an old version",
@@ -783,7 +785,11 @@
     (
         "load all models at once",
         "models_in_turn",
-        (placement.StoreTurns, "turn", lambda _: contextlib.AsyncExitStack()),
+        (
+            placement.StoreLoadLock,
+            "turn",
+            lambda _: contextlib.AsyncExitStack(),
+        ),
     ),
     (
         "say nothing of what is expected",
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -49,8 +49,8 @@
         self.read_list()
         return self
 
-    def _new_start(self, target: str, born_ms: int) -> None:
-        self.fleet.started(target, born_ms)
+    def _new_start(self, target: str, start_time_ms: int) -> None:
+        self.fleet.started(target, start_time_ms)
         self._publish()
 
     def read_list(self) -> None:
@@ -58,8 +58,8 @@
         now = asyncio.get_running_loop().time()
         self.fleet.update(
             [
-                _instance(targets.Incarnation(name, born_ms))
-                for name, born_ms in self.listed_by_name.items()
+                _instance(targets.Incarnation(name, start_time_ms))
+                for name, start_time_ms in self.listed_by_name.items()
             ],
             now,
         )
@@ -80,7 +80,7 @@
         )
 
     @property
-    def holdings(self) -> list[placement.Holding]:
+    def holdings(self) -> list[placement.EngineRecord]:
         """What the placer has recorded of each engine."""
         orders = self.placer._orders_by_target.values()
         return [each.holding for each in orders]
@@ -230,7 +230,7 @@
         await asyncio.gather(*tasks)
         for name, engine in world.engine_by_id.items():
             engine.fault_rates = ledger.Luck()
-            world.listed_by_name[name] = engine.born_ms
+            world.listed_by_name[name] = engine.start_time_ms
         await asyncio.sleep(14.0)
         world.read_list()
         await asyncio.sleep(RELOAD_S)
@@ -268,9 +268,9 @@
     if not with_start_times:
         engine.restart(None)
         return
-    engine.restart(engine.born_ms + LATER_MS)
+    engine.restart(engine.start_time_ms + LATER_MS)
     if rng.random() < 0.5:
-        world.listed_by_name[name] = engine.born_ms
+        world.listed_by_name[name] = engine.start_time_ms
 
 
 def run_scenario(name: str) -> list[str]:
@@ -338,9 +338,9 @@
 
 
 @hypothesis.given(NAMES, strategies.none() | strategies.integers(0))
-def texts_say_all(name: str, born_ms: int | None) -> None:
+def texts_say_all(name: str, start_time_ms: int | None) -> None:
     """Check that an incarnation is unchanged by writing and parsing it."""
-    start = targets.Incarnation(name, born_ms)
+    start = targets.Incarnation(name, start_time_ms)
     assert targets.Incarnation.of(str(start)) == start, start
 
 
@@ -369,7 +369,7 @@
     (
         "see no start in fewer orders",
         "told_by_neither",
-        (placement.Holding, "shows_new_start", lambda *_: False),
+        (placement.EngineRecord, "shows_new_start", lambda *_: False),
     ),
     (
         "believe the list, however old",
