--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -16,7 +16,7 @@
 # 5 Mbit/s; all of 3,000 targets take 0.6 s.
 LINK_BYTES_PER_S = 625_000
 LEASE = control.LeaseTiming(2.0, 0.3, call_s=0.6)
-MAX_CHANGES = 3
+MOST_CHANGES = 3
 
 
 class _ManyTargets(targets.InstanceList):
@@ -86,7 +86,7 @@
 
 def digests_agree(steps: list[tuple[str, int, bool]]) -> None:
     """Follow a leader in pieces of few changes, over several leaders."""
-    with unittest.mock.patch.object(_digest, "MAX_CHANGES", MAX_CHANGES):
+    with unittest.mock.patch.object(_digest, "MOST_CHANGES", MOST_CHANGES):
         _follow(steps)
 
 
@@ -120,7 +120,7 @@
     delta = log.delta(follower.term, follower.version)
     changes = delta.daemons + delta.targets
     changes += delta.gone_daemons + delta.gone_targets
-    assert len(changes) <= MAX_CHANGES, delta
+    assert len(changes) <= MOST_CHANGES, delta
     follower.apply(delta)
     kept = before & set(log.target_by_id)
     assert kept <= set(follower.target_by_id), (kept, delta)
@@ -197,7 +197,7 @@
     from features.support import ledger
 
     _, check, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         if check == "random":
             return random_digests(200)
         return ledger.run(many_targets_over_small_links())
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -134,8 +134,8 @@
             (catalogue.BaseModel(ledger.MODEL, 1, 1),),
         )
         self.engine_by_name = {
-            f"i-{number}": ledger.EngineOracle(
-                self.spec, ledger.Luck(), self.rng
+            f"i-{number}": ledger.FakeEngine(
+                self.spec, ledger.FaultRates(), self.rng
             )
             for number in range(size.engines)
         }
@@ -153,7 +153,7 @@
         ranks = range(1, ADAPTERS + 1)
         self._weights = [rank**-SKEW for rank in ranks]
 
-    def engine_of(self, instance: targets.Instance) -> ledger.EngineOracle:
+    def engine_of(self, instance: targets.Instance) -> ledger.FakeEngine:
         """Return the engine of a listed target."""
         return self.engine_by_name[instance.id]
 
@@ -383,5 +383,5 @@
 def run_mutant(number: int) -> list[str]:
     """Run a scenario with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         return run_scenario(scenario)
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -1586,7 +1586,7 @@
 def run_mutant(number: int) -> list[str]:
     """Run a scenario with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         try:
             return run_scenario(scenario)
         except (AssertionError, wire.ServingError) as error:
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -42,7 +42,7 @@
     def __init__(
         self,
         holder: str,
-        engine: ledger.EngineOracle,
+        engine: ledger.FakeEngine,
         holder_by_fence: dict[int, str],
     ) -> None:
         self._holder = holder
@@ -123,7 +123,7 @@
         self,
         seed: int,
         engines: int = 2,
-        fault_rates: ledger.Luck = ledger.Luck(),
+        fault_rates: ledger.FaultRates = ledger.FaultRates(),
         **settings,
     ) -> None:
         self._seed = seed
@@ -135,7 +135,7 @@
             64, 100_000, 1e6, 3, 4.0, (catalogue.BaseModel(MODEL, 1, 1),)
         )
         self.engine_by_id = {
-            f"e{n}": ledger.EngineOracle(self.spec, fault_rates, self.rng)
+            f"e{n}": ledger.FakeEngine(self.spec, fault_rates, self.rng)
             for n in range(engines)
         }
         self._holder_by_fence: dict[int, str] = {}
@@ -430,7 +430,7 @@
     """Random elections, kills and lost disks under continuous requests."""
     # Orders whose answer is lost are executed nevertheless.
     async with ReplicaCluster(
-        seed, fault_rates=ledger.Luck(lost=0.1)
+        seed, fault_rates=ledger.FaultRates(lost=0.1)
     ) as cluster:
         rng = random.Random(seed)
         await cluster.ask_until_served(4.0)
@@ -605,5 +605,5 @@
 def run_mutant(number: int) -> list[str]:
     """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         return run_scenario(scenario)
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Luck:
+class FaultRates:
     """Fault rates of the link to an engine.
 
     Args:
@@ -49,11 +49,14 @@
     max_delay_s: float = 12.0
 
 
-class EngineOracle(targets.AdapterEngine):
+class FakeEngine(targets.AdapterEngine):
     """Executes orders and records each load that exceeds its slots."""
 
     def __init__(
-        self, spec: catalogue.EngineSpec, fault_rates: Luck, rng: random.Random
+        self,
+        spec: catalogue.EngineSpec,
+        fault_rates: FaultRates,
+        rng: random.Random,
     ) -> None:
         self.faults: list[str] = []
         self.sequence = 0
@@ -289,7 +292,7 @@
     def __init__(
         self,
         seed: int,
-        fault_rates: Luck,
+        fault_rates: FaultRates,
         engines: int = 2,
         slots: int = 3,
         quiet_s: float = 0.0,
@@ -300,13 +303,13 @@
         )
         self.leader = FakeLeadership()
         self.machine = catalogue.CatalogueMachine()
-        self.engine_by_id: dict[str, EngineOracle] = {}
+        self.engine_by_id: dict[str, FakeEngine] = {}
         self.infos = tuple(
             control.TargetInfo(f"e{n}", POOL, f"10.1.0.{n + 1}:1", "mnl-a")
             for n in range(engines)
         )
         for info in self.infos:
-            engine = EngineOracle(self.spec, fault_rates, self.rng)
+            engine = FakeEngine(self.spec, fault_rates, self.rng)
             self.engine_by_id[info.id] = engine
         self._put_routes()
         self.placer = placement.Placer(
@@ -337,7 +340,7 @@
         command = catalogue.Command(name_version=name)
         self.machine.apply(self._index, wire.encode(command))
 
-    def engine_of(self, instance: targets.Instance) -> EngineOracle:
+    def engine_of(self, instance: targets.Instance) -> FakeEngine:
         """Return the engine of an instance, whichever its incarnation."""
         name = targets.Incarnation.of(instance.id).name
         return self.engine_by_id[name]
@@ -419,7 +422,7 @@
         ]
 
 
-async def random_load(seed: int, fault_rates: Luck) -> list[str]:
+async def random_load(seed: int, fault_rates: FaultRates) -> list[str]:
     """Request more adapters than there are slots, at random times.
 
     Once the faults have ended, a request for each adapter must be served.
@@ -439,7 +442,7 @@
             await asyncio.sleep(harness.rng.uniform(0.0, 0.25))
         await asyncio.gather(*tasks)
         for engine in harness.engine_by_id.values():
-            engine.fault_rates = Luck()
+            engine.fault_rates = FaultRates()
         await asyncio.sleep(14.0)
         served = harness.served
         await asyncio.gather(
@@ -460,7 +463,7 @@
     The load is still waiting for the lock of the engine's orders when the
     ledger is settled.
     """
-    async with PlacerHarness(1, Luck(), engines=1, slots=2) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
         (orders,) = harness.placer._orders_by_target.values()
         now = asyncio.get_running_loop().time()
@@ -475,7 +478,7 @@
 
 async def no_order_without_lead() -> list[str]:
     """A placer that lost leadership sends none of its planned orders."""
-    async with PlacerHarness(1, Luck(), engines=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
         (orders,) = harness.placer._orders_by_target.values()
         now = asyncio.get_running_loop().time()
@@ -488,7 +491,7 @@
 
 async def deposed_in_a_load() -> list[str]:
     """A placer that loses leadership during a load stops polling reports."""
-    async with PlacerHarness(1, Luck(), engines=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
         asking = asyncio.create_task(harness.request("a1", 0.1))
         await asyncio.sleep(0.1)
@@ -503,7 +506,7 @@
 
 async def lead_in_doubt() -> list[str]:
     """A placer resumes orders after a short loss of confirmed leadership."""
-    async with PlacerHarness(1, Luck(), engines=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
         asking = asyncio.create_task(harness.request("a1", 0.1))
         await asyncio.sleep(0.1)
@@ -519,7 +522,9 @@
 
 async def quiet_new_holder() -> list[str]:
     """A new leader waits before it orders engines that check no fences."""
-    async with PlacerHarness(1, Luck(), engines=1, quiet_s=3.0) as harness:
+    async with PlacerHarness(
+        1, FaultRates(), engines=1, quiet_s=3.0
+    ) as harness:
         await asyncio.sleep(0.5)
         asking = asyncio.create_task(harness.request("a1", 0.1, 6.0))
         await asyncio.sleep(2.0)
@@ -535,7 +540,7 @@
 
 async def taken_over() -> list[str]:
     """A new leader evicts no adapter whose uses are not reported yet."""
-    async with PlacerHarness(1, Luck(), engines=1, slots=2) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
         await harness.request("a1", 0.1)
         long = asyncio.create_task(harness.request("a0", 4.0))
@@ -560,7 +565,7 @@
 
 async def taken_over_idle() -> list[str]:
     """A new leader evicts at once on an engine that reports no runs."""
-    async with PlacerHarness(1, Luck(), engines=1, slots=2) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
         await harness.request("a0", 0.1)
         await harness.request("a1", 0.1)
@@ -579,7 +584,7 @@
     A request that can still meet its objective goes first, although it
     arrived after the retried one.
     """
-    async with PlacerHarness(1, Luck(), engines=1, slots=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
         busy = asyncio.create_task(harness.request("a1", 0.4))
         await asyncio.sleep(0.3)
@@ -595,7 +600,7 @@
 
 async def long_prompt_goes_sooner() -> list[str]:
     """A long prompt goes first, as it must begin sooner to be on time."""
-    async with PlacerHarness(1, Luck(), engines=1, slots=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
         busy = asyncio.create_task(harness.request("a1", 0.2))
         await asyncio.sleep(0.3)
@@ -609,7 +614,7 @@
 
 async def full_home() -> list[str]:
     """A request goes to another engine if its home engine stays full."""
-    async with PlacerHarness(1, Luck(), engines=2, slots=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         long = [
             asyncio.create_task(harness.request("a1", 10.0)),
@@ -634,7 +639,7 @@
     second count would be left over after the only release, and its prompt
     would stay in the estimated backlog of an engine that never reads it.
     """
-    async with PlacerHarness(1, Luck(), engines=2, slots=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         ask = harness.ask("a1")
         lost = await harness.placer.on_place(ask)
@@ -660,7 +665,7 @@
 
 async def models_in_turn() -> list[str]:
     """The store serves one base model at a time; local disks don't wait."""
-    async with PlacerHarness(1, Luck(), engines=5) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=5) as harness:
         engines = list(harness.engine_by_id.values())
         for number, engine in enumerate(engines):
             engine.drop_model(on_disk=number >= 3)
@@ -683,7 +688,7 @@
 
     Otherwise the event loop of the leader has no time for other work.
     """
-    async with PlacerHarness(1, Luck(), engines=2, slots=1) as harness:
+    async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         decided = 0
         pump = harness.placer._schedule
@@ -706,7 +711,7 @@
 
 async def named_version() -> list[str]:
     """A new default version applies to new runs within 2 s."""
-    async with PlacerHarness(1, Luck()) as harness:
+    async with PlacerHarness(1, FaultRates()) as harness:
         await asyncio.sleep(2.0)
         await harness.request("a1", 0.1)
         harness.name_version("a1", 7)
@@ -842,7 +847,7 @@
     return run(SCENARIOS[name]())
 
 
-def switched_off(guard: tuple) -> contextlib.AbstractContextManager:
+def disabled_guard(guard: tuple) -> contextlib.AbstractContextManager:
     """Patch a guard, given as owner, attribute name and replacement."""
     return unittest.mock.patch.object(*guard)
 
@@ -850,7 +855,7 @@
 def run_mutant(number: int) -> list[str]:
     """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
-    with switched_off(guard):
+    with disabled_guard(guard):
         if scenario != "random":
             return run_scenario(scenario)
         return [fault for seed in range(12) for fault in run_random(seed)]
@@ -859,6 +864,8 @@
 def run_random(seed: int) -> list[str]:
     """Run a random load with fault rates chosen by the seed."""
     rng = random.Random(seed)
-    fault_rates = Luck(rng.choice((0, 0.1, 0.35)), rng.choice((0, 0.1, 0.3)))
+    fault_rates = FaultRates(
+        rng.choice((0, 0.1, 0.35)), rng.choice((0, 0.1, 0.3))
+    )
     faults = run(random_load(seed, fault_rates))
     return [f"seed {seed}, {fault_rates}: {fault}" for fault in faults]
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -568,5 +568,5 @@
 def run_mutant(number: int) -> list[str]:
     """Run a scenario with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         return run_scenario(scenario)
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -31,7 +31,7 @@
     def __init__(
         self,
         seed: int,
-        fault_rates: ledger.Luck = ledger.Luck(),
+        fault_rates: ledger.FaultRates = ledger.FaultRates(),
         engines: int = 1,
     ) -> None:
         super().__init__(seed, fault_rates, engines)
@@ -211,7 +211,9 @@
         tells: whether the engines and the list give start times.
     """
     rng = random.Random(seed)
-    fault_rates = ledger.Luck(rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0)
+    fault_rates = ledger.FaultRates(
+        rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0
+    )
     async with RestartHarness(seed, fault_rates, 2) as world:
         if not with_start_times:
             _remove_start_times(world)
@@ -229,7 +231,7 @@
             await asyncio.sleep(rng.uniform(0.0, 0.25))
         await asyncio.gather(*tasks)
         for name, engine in world.engine_by_id.items():
-            engine.fault_rates = ledger.Luck()
+            engine.fault_rates = ledger.FaultRates()
             world.listed_by_name[name] = engine.start_time_ms
         await asyncio.sleep(14.0)
         world.read_list()
@@ -387,7 +389,7 @@
 def run_mutant(number: int) -> list[str]:
     """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         try:
             if scenario == "random":
                 return [f for seed in range(16) for f in run_random(seed)]
--- a/libs/control/src/bergamotsail/control/_digest.py
+++ b/libs/control/src/bergamotsail/control/_digest.py
@@ -12,7 +12,7 @@
 # Changes in one answer, some 60 kB: a link of 1 Mbit/s carries them in the
 # 0.6 s that a daemon waits for it. All of 3,000 targets at once take a link
 # of 5 Mbit/s that long, so that no answer of a new leader came in time.
-MAX_CHANGES = 400
+MOST_CHANGES = 400
 
 
 class _Table(typing.Generic[Item]):
@@ -139,10 +139,10 @@
 
         Each change has a version of its own.
         """
-        if sum(map(len, changes)) <= MAX_CHANGES:
+        if sum(map(len, changes)) <= MOST_CHANGES:
             return self.version
         ordered = heapq.merge(*changes)
-        return next(itertools.islice(ordered, MAX_CHANGES - 1, None))[0]
+        return next(itertools.islice(ordered, MOST_CHANGES - 1, None))[0]
 
 
 class Digest:
