--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -1,8 +1,9 @@
-"""An engine whose orders get lost, late and doubled, and its ledger.
+"""A real placer before fake engines whose orders are lost or delayed.
 
-The engine is a simple oracle: it knows what it holds and what it was ever
-ordered beyond its room. The holder of the orders and its ledger are real,
-and run in virtual time.
+The fake engine is the test oracle: it knows which adapters it holds and
+records each load that exceeds its adapter slots. The placer, which issues the
+orders and keeps a ledger of them for each engine, is the production code. All
+run in virtual time.
 """
 
 import asyncio
@@ -27,7 +28,7 @@
 STORE_S = 0.25
 COPY_S = 0.025
 MODEL_S = 1.0
-# From the grant to the first of an answer.
+# Time from the grant to the first chunk of the answer.
 FIRST_S = 0.01
 POOL = "sastre-llm"
 Outcome = targets.OrderOutcome
@@ -35,23 +36,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FaultRates:
-    """How badly things go.
+    """Fault rates of the link to an engine.
 
     Args:
-        late: share of orders that get no answer and are done later.
-        lost: share of orders that are done, their answer lost.
+        late: share of orders that are not answered and are executed later.
+        lost: share of orders that are executed but whose answer is lost.
+        max_delay_s: longest delay of a late order, in seconds.
     """
 
     late: float = 0.0
     lost: float = 0.0
-    latest_s: float = 12.0
+    max_delay_s: float = 12.0
 
 
 class FakeEngine(targets.AdapterEngine):
-    """Holds adapters by order and notes each order beyond its room."""
+    """Executes orders and records each load that exceeds its slots."""
 
     def __init__(
-        self, spec: catalogue.EngineSpec, luck: FaultRates, rng: random.Random
+        self,
+        spec: catalogue.EngineSpec,
+        fault_rates: FaultRates,
+        rng: random.Random,
     ) -> None:
         self.faults: list[str] = []
         self.sequence = 0
@@ -61,11 +66,11 @@
         self._copies: set[str] = set()
         self._fence = 0
         self._spec = spec
-        self.luck = luck
+        self.fault_rates = fault_rates
         self._rng = rng
         self._leaving: set[str] = set()
         self._history: list[tuple[float, targets.AdapterReport]] = []
-        # Orders as they were accepted, also those whose answer was lost.
+        # Time and fence of each accepted order, also if its answer was lost.
         self.accepted: list[tuple[float, int]] = []
         self._tasks: set[asyncio.Task] = set()
         self.reports = 0
@@ -76,12 +81,12 @@
         self._on_disk = False
         self.start_time_ms: int | None = None
         self._start = 0
-        self._note()
+        self._record_report()
 
     def restart(self, start_time_ms: int | None) -> None:
-        """Start anew under the same name, empty.
+        """Restart under the same name without adapters or a base model.
 
-        Orders that were left unanswered may still be carried out.
+        Orders that were not answered may still be executed.
         """
         self._start += 1
         self.start_time_ms = start_time_ms
@@ -91,20 +96,20 @@
             held.clear()
         self._copies.clear()
         self._leaving.clear()
-        self.forget_model(on_disk=False)
+        self.drop_model(on_disk=False)
 
-    def forget_model(self, on_disk: bool) -> None:
-        """Begin without the base model."""
+    def drop_model(self, on_disk: bool) -> None:
+        """Drop the base model and the past reports."""
         self.model_loaded = False
         self._on_disk = on_disk
         self._history.clear()
-        self._note()
+        self._record_report()
 
     def _load_model(self) -> Outcome:
         if self.model_loaded:
             return Outcome.HOLDS
         self.fetching = not self._on_disk
-        self._later(MODEL_S, self._model_loaded, self._start)
+        self._call_later(MODEL_S, self._model_loaded, self._start)
         return Outcome.STARTED
 
     def _model_loaded(self, start: int) -> None:
@@ -113,7 +118,7 @@
         self.model_loaded, self.fetching = True, False
         self.model_at = asyncio.get_running_loop().time()
         self.sequence += 1
-        self._note()
+        self._record_report()
 
     async def report(self) -> targets.AdapterReport:
         await asyncio.sleep(0.002)
@@ -123,37 +128,37 @@
         return old[-1] if old else self._history[0][1]
 
     async def load(self, order: targets.EngineOrder) -> Outcome:
-        return await self._take(order, self._load)
+        return await self._receive(order, self._load)
 
     async def unload(self, order: targets.EngineOrder) -> Outcome:
-        return await self._take(order, self._unload)
+        return await self._receive(order, self._unload)
 
-    async def _take(self, order, carry_out) -> Outcome:
+    async def _receive(self, order, execute) -> Outcome:
         await asyncio.sleep(0.001)
         if not order.gate():
-            raise wire.NotSentError("The gate was shut.")
+            raise wire.NotSentError("The order may no longer be sent.")
 
-        def carry_out_noted(order: targets.EngineOrder) -> Outcome:
-            outcome = carry_out(order)
+        def execute_and_record(order: targets.EngineOrder) -> Outcome:
+            outcome = execute(order)
             if outcome in (Outcome.STARTED, Outcome.HOLDS):
                 now = asyncio.get_running_loop().time()
                 self.accepted.append((now, order.fence))
             return outcome
 
-        luck = self._rng.random()
-        if luck < self.luck.late:
-            delay_s = self._rng.uniform(2.0, self.luck.latest_s)
-            self._later(delay_s, carry_out_noted, order)
+        draw = self._rng.random()
+        if draw < self.fault_rates.late:
+            delay_s = self._rng.uniform(2.0, self.fault_rates.max_delay_s)
+            self._call_later(delay_s, execute_and_record, order)
             await asyncio.sleep(0.2)
-            raise wire.PeerLostError("No answer came.")
-        outcome = carry_out_noted(order)
-        if luck < self.luck.late + self.luck.lost:
+            raise wire.PeerLostError("The order was not answered.")
+        outcome = execute_and_record(order)
+        if draw < self.fault_rates.late + self.fault_rates.lost:
             await asyncio.sleep(0.2)
             raise wire.PeerLostError("The answer was lost.")
         await asyncio.sleep(0.001)
         return outcome
 
-    def _later(self, delay_s: float, work, *args) -> None:
+    def _call_later(self, delay_s: float, work, *args) -> None:
         async def wait() -> None:
             await asyncio.sleep(delay_s)
             work(*args)
@@ -162,7 +167,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _expected(self, order: targets.EngineOrder) -> Outcome | None:
+    def _check_order(self, order: targets.EngineOrder) -> Outcome | None:
         if order.fence < self._fence:
             return Outcome.FENCED
         self._fence = order.fence
@@ -173,7 +178,7 @@
         return None
 
     def _load(self, order: targets.EngineOrder) -> Outcome:
-        refused = self._expected(order)
+        refused = self._check_order(order)
         if refused is not None:
             return refused
         if not order.adapter:
@@ -185,12 +190,14 @@
             return Outcome.STARTED
         taken = len(set(self.ready) | set(self.pending) | {name})
         if taken > self._spec.adapter_slots:
-            self.faults.append(f"{name} is one too many: {taken}")
+            self.faults.append(
+                f"{name} needs slot {taken} of {self._spec.adapter_slots}"
+            )
         self.sequence += 1
         self.pending[name] = version
         delay_s = COPY_S if name in self._copies else STORE_S
-        self._later(delay_s, self._loaded, name, version, self._start)
-        self._note()
+        self._call_later(delay_s, self._loaded, name, version, self._start)
+        self._record_report()
         return Outcome.STARTED
 
     def _loaded(self, name: str, version: int, start: int) -> None:
@@ -200,42 +207,42 @@
             del self.pending[name]
             self.ready[name] = version
             self._copies.add(name)
-            self._note()
+            self._record_report()
 
     def _unload(self, order: targets.EngineOrder) -> Outcome:
-        refused = self._expected(order)
+        refused = self._check_order(order)
         if refused is not None:
             return refused
         self.sequence += 1
         if self.running.get(order.adapter):
             self._leaving.add(order.adapter)
             self.unloads_in_use += 1
-            self._note()
+            self._record_report()
             return Outcome.STARTED
         self.ready.pop(order.adapter, None)
-        self._note()
+        self._record_report()
         return Outcome.HOLDS
 
     def begin(self, name: str) -> bool:
-        """Begin a run; False when the adapter is not there."""
+        """Begin a run; return False if the adapter is not ready."""
         if name not in self.ready or name in self._leaving:
             return False
         self.running[name] = self.running.get(name, 0) + 1
-        self._note()
+        self._record_report()
         return True
 
     def end(self, name: str) -> None:
-        """End a run; an unload that waited for it is then done."""
+        """End a run; the last one completes a pending unload."""
         if not self.running.get(name):
             return
         self.running[name] -= 1
-        self._note()
+        self._record_report()
         if not self.running[name] and name in self._leaving:
             self._leaving.discard(name)
             self.ready.pop(name, None)
-            self._note()
+            self._record_report()
 
-    def _note(self) -> None:
+    def _record_report(self) -> None:
         def held(
             adapters: dict[str, int],
         ) -> tuple[targets.ReportedAdapter, ...]:
@@ -261,8 +268,8 @@
         self._history.append((now, report))
 
 
-class StandingLeader(placement.Leadership):
-    """A leader that leads until a test says otherwise."""
+class FakeLeadership(placement.Leadership):
+    """A leadership whose term and state are set by the test."""
 
     def __init__(self) -> None:
         self.number = 1
@@ -276,16 +283,16 @@
         return self.leads
 
     def refusal(self) -> wire.ServingError:
-        return wire.NotLeaderError("Ask another.")
+        return wire.NotLeaderError("This replica is not the leader.")
 
 
-class Ledger:
-    """A placer before some engines; an async context manager."""
+class PlacerHarness:
+    """Runs a placer with fake engines; an async context manager."""
 
     def __init__(
         self,
         seed: int,
-        luck: FaultRates,
+        fault_rates: FaultRates,
         engines: int = 2,
         slots: int = 3,
         quiet_s: float = 0.0,
@@ -294,7 +301,7 @@
         self.spec = catalogue.EngineSpec(
             64, 100_000, 1e6, slots, 4.0, (catalogue.BaseModel(MODEL, 1, 1),)
         )
-        self.leader = StandingLeader()
+        self.leader = FakeLeadership()
         self.machine = catalogue.CatalogueMachine()
         self.engine_by_id: dict[str, FakeEngine] = {}
         self.infos = tuple(
@@ -302,7 +309,7 @@
             for n in range(engines)
         )
         for info in self.infos:
-            engine = FakeEngine(self.spec, luck, self.rng)
+            engine = FakeEngine(self.spec, fault_rates, self.rng)
             self.engine_by_id[info.id] = engine
         self._put_routes()
         self.placer = placement.Placer(
@@ -327,18 +334,18 @@
         self.machine.apply(1, wire.encode(command))
 
     def name_version(self, adapter: str, version: int) -> None:
-        """Name a newer version of an adapter."""
+        """Set the default version of an adapter."""
         self._index += 1
         name = catalogue.NameVersion(MODEL, adapter, version)
         command = catalogue.Command(name_version=name)
         self.machine.apply(self._index, wire.encode(command))
 
     def engine_of(self, instance: targets.Instance) -> FakeEngine:
-        """Return the engine that a start of it belongs to."""
+        """Return the engine of an instance, whichever its incarnation."""
         name = targets.Incarnation.of(instance.id).name
         return self.engine_by_id[name]
 
-    async def __aenter__(self) -> "Ledger":
+    async def __aenter__(self) -> "PlacerHarness":
         await self.placer.__aenter__()
         self.placer.targets_changed(self.infos)
         return self
@@ -353,7 +360,7 @@
         age_s: float = 0.0,
         prompt_tokens: int = 100,
     ) -> placement.PlaceRequest:
-        """Return the next request."""
+        """Return a new placement request."""
         self._number += 1
         return placement.PlaceRequest(
             "entry-1",
@@ -378,7 +385,7 @@
         age_s: float = 0.0,
         prompt_tokens: int = 100,
     ) -> None:
-        """Ask for a place, run there, and give it back."""
+        """Request a place, run there and release it."""
         ask = self.ask(adapter, patience_s, age_s, prompt_tokens)
         try:
             place = await self.placer.on_place(ask)
@@ -407,7 +414,7 @@
         )
 
     def check(self) -> list[str]:
-        """Return what the engines were ordered wrongly."""
+        """Return the faults found by the harness and its engines."""
         return self.faults + [
             f"{name}: {fault}"
             for name, engine in self.engine_by_id.items()
@@ -415,228 +422,241 @@
         ]
 
 
-async def random_load(seed: int, luck: FaultRates) -> list[str]:
-    """Random requests for more adapters than there are slots."""
-    async with Ledger(seed, luck) as ledger:
+async def random_load(seed: int, fault_rates: FaultRates) -> list[str]:
+    """Request more adapters than there are slots, at random times.
+
+    Once the faults have ended, a request for each adapter must be served.
+    """
+    async with PlacerHarness(seed, fault_rates) as harness:
         await asyncio.sleep(2.0)
         tasks = []
         for number in range(80):
-            adapter = f"a{ledger.rng.randrange(12)}"
+            adapter = f"a{harness.rng.randrange(12)}"
             if number % 17 == 16:
-                ledger.name_version(adapter, 2 + number)
+                harness.name_version(adapter, 2 + number)
             tasks.append(
                 asyncio.create_task(
-                    ledger.request(adapter, ledger.rng.uniform(0.05, 0.6))
+                    harness.request(adapter, harness.rng.uniform(0.05, 0.6))
                 )
             )
-            await asyncio.sleep(ledger.rng.uniform(0.0, 0.25))
+            await asyncio.sleep(harness.rng.uniform(0.0, 0.25))
         await asyncio.gather(*tasks)
-        for engine in ledger.engine_by_id.values():
-            engine.luck = FaultRates()
+        for engine in harness.engine_by_id.values():
+            engine.fault_rates = FaultRates()
         await asyncio.sleep(14.0)
-        served = ledger.served
+        served = harness.served
         await asyncio.gather(
-            *(ledger.request(f"a{n}", 0.05) for n in range(12))
+            *(harness.request(f"a{n}", 0.05) for n in range(12))
         )
-        faults = ledger.check()
-        if ledger.served < served + 12:
-            faults.append(f"After all was well, only {ledger.served} ran.")
+        faults = harness.check()
+        if harness.served < served + 12:
+            faults.append(
+                f"only {harness.served - served} of 12 requests were served "
+                "after the faults ended"
+            )
         return faults
 
 
 async def dropped_load() -> list[str]:
-    """A load still waits for its turn when the ledger is settled anew.
+    """A load that settling removed from the ledger is not sent.
 
-    It is no longer in the ledger then, so it must not be sent.
+    The load is still waiting for the lock of the engine's orders when the
+    ledger is settled.
     """
-    async with Ledger(1, FaultRates(), engines=1, slots=2) as ledger:
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
-        (orders,) = ledger.placer._orders_by_target.values()
+        (orders,) = harness.placer._orders_by_target.values()
         now = asyncio.get_running_loop().time()
         async with orders._lock:
             orders.start_load((MODEL, "a1"), None, None, now)
             orders.settle()
             await asyncio.sleep(1.5)
         await asyncio.sleep(0.5)
-        sent = ledger.engine_by_id["e0"].sequence
+        sent = harness.engine_by_id["e0"].sequence
         return [f"{sent} orders were sent."] if sent else []
 
 
 async def no_order_without_lead() -> list[str]:
-    """A holder that lost the lead sends nothing, whatever it planned."""
-    async with Ledger(1, FaultRates(), engines=1) as ledger:
+    """A placer that lost leadership sends none of its planned orders."""
+    async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
-        (orders,) = ledger.placer._orders_by_target.values()
+        (orders,) = harness.placer._orders_by_target.values()
         now = asyncio.get_running_loop().time()
         orders.start_load((MODEL, "a1"), None, None, now)
-        ledger.leader.leads = False
+        harness.leader.leads = False
         await asyncio.sleep(2.0)
-        sent = ledger.engine_by_id["e0"].sequence
+        sent = harness.engine_by_id["e0"].sequence
         return [f"{sent} orders were sent."] if sent else []
 
 
 async def deposed_in_a_load() -> list[str]:
-    """A holder that loses the lead during loads asks no more reports."""
-    async with Ledger(1, FaultRates(), engines=1) as ledger:
+    """A placer that loses leadership during a load stops polling reports."""
+    async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
-        asking = asyncio.create_task(ledger.request("a1", 0.1))
+        asking = asyncio.create_task(harness.request("a1", 0.1))
         await asyncio.sleep(0.1)
-        ledger.leader.leads = False
-        engine = ledger.engine_by_id["e0"]
+        harness.leader.leads = False
+        engine = harness.engine_by_id["e0"]
         before = engine.reports
         await asyncio.sleep(5.0)
         await asking
         asked = engine.reports - before
-        return [f"{asked} reports"] if asked > 2 else []
+        return [f"{asked} reports were requested"] if asked > 2 else []
 
 
 async def lead_in_doubt() -> list[str]:
-    """A holder that was not sure of its lead for a moment goes on."""
-    async with Ledger(1, FaultRates(), engines=1) as ledger:
+    """A placer resumes orders after a short loss of confirmed leadership."""
+    async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
-        asking = asyncio.create_task(ledger.request("a1", 0.1))
+        asking = asyncio.create_task(harness.request("a1", 0.1))
         await asyncio.sleep(0.1)
-        ledger.leader.leads = False
+        harness.leader.leads = False
         await asyncio.sleep(0.6)
-        ledger.leader.leads = True
+        harness.leader.leads = True
         await asking
         await asyncio.sleep(1.0)
         for number in range(1, 6):
-            await ledger.request(f"a{number}", 0.1)
-        return [] if ledger.served >= 5 else [f"{ledger.served} served"]
+            await harness.request(f"a{number}", 0.1)
+        return [] if harness.served >= 5 else [f"only {harness.served} served"]
 
 
 async def quiet_new_holder() -> list[str]:
-    """Where engines don't check fences a new holder waits before orders."""
-    async with Ledger(1, FaultRates(), engines=1, quiet_s=3.0) as ledger:
+    """A new leader waits before it orders engines that check no fences."""
+    async with PlacerHarness(
+        1, FaultRates(), engines=1, quiet_s=3.0
+    ) as harness:
         await asyncio.sleep(0.5)
-        asking = asyncio.create_task(ledger.request("a1", 0.1, 6.0))
+        asking = asyncio.create_task(harness.request("a1", 0.1, 6.0))
         await asyncio.sleep(2.0)
-        engine = ledger.engine_by_id["e0"]
-        faults = ["It ordered at once."] if engine.sequence else []
+        engine = harness.engine_by_id["e0"]
+        faults = (
+            ["An order was sent within the wait."] if engine.sequence else []
+        )
         await asking
-        if not ledger.served:
-            faults.append("It never ordered.")
+        if not harness.served:
+            faults.append("The request was not served after the wait.")
         return faults
 
 
 async def taken_over() -> list[str]:
-    """A new holder evicts nothing that an entry has not told it of yet."""
-    async with Ledger(1, FaultRates(), engines=1, slots=2) as ledger:
+    """A new leader evicts no adapter whose uses are not reported yet."""
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
-        await ledger.request("a1", 0.1)
-        long = asyncio.create_task(ledger.request("a0", 4.0))
+        await harness.request("a1", 0.1)
+        long = asyncio.create_task(harness.request("a0", 4.0))
         await asyncio.sleep(1.0)
         use = control.Use("r2", "e0", MODEL, "a0", 120)
-        ledger.leader.number = 2
-        ledger.placer.targets_changed(ledger.infos)
-        others = asyncio.create_task(ledger.request("a2", 0.1))
+        harness.leader.number = 2
+        harness.placer.targets_changed(harness.infos)
+        others = asyncio.create_task(harness.request("a2", 0.1))
         await asyncio.sleep(0.9)
         for _ in range(10):
-            ledger.placer.take_uses("entry-1", (use,))
+            harness.placer.take_uses("entry-1", (use,))
             await asyncio.sleep(0.3)
         await asyncio.gather(long, others)
-        engine = ledger.engine_by_id["e0"]
+        engine = harness.engine_by_id["e0"]
         faults = []
         if engine.unloads_in_use:
-            faults.append("An adapter in use was ordered out.")
-        if ledger.served < 3:
-            faults.append(f"Only {ledger.served} of 3 were served.")
+            faults.append("An adapter in use was unloaded.")
+        if harness.served < 3:
+            faults.append(f"Only {harness.served} of 3 were served.")
         return faults
 
 
 async def taken_over_idle() -> list[str]:
-    """A new holder evicts at once where the engine itself runs nothing."""
-    async with Ledger(1, FaultRates(), engines=1, slots=2) as ledger:
+    """A new leader evicts at once on an engine that reports no runs."""
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
-        await ledger.request("a0", 0.1)
-        await ledger.request("a1", 0.1)
+        await harness.request("a0", 0.1)
+        await harness.request("a1", 0.1)
         await asyncio.sleep(1.0)
-        ledger.leader.number = 2
-        ledger.placer.targets_changed(ledger.infos)
+        harness.leader.number = 2
+        harness.placer.targets_changed(harness.infos)
         before = asyncio.get_running_loop().time()
-        await ledger.request("a2", 0.0)
+        await harness.request("a2", 0.0)
         took_s = asyncio.get_running_loop().time() - before
-        return [f"It took {took_s:.2f} s."] if took_s > 0.5 else []
+        return [f"The request took {took_s:.2f} s."] if took_s > 0.5 else []
 
 
 async def returned_goes_behind() -> list[str]:
-    """Who comes back after a refusal can't be on time any more.
+    """A retried request that missed its objective is served later.
 
-    Who still can goes first, though it arrived later.
+    A request that can still meet its objective goes first, although it
+    arrived after the retried one.
     """
-    async with Ledger(1, FaultRates(), engines=1, slots=1) as ledger:
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
-        busy = asyncio.create_task(ledger.request("a1", 0.4))
+        busy = asyncio.create_task(harness.request("a1", 0.4))
         await asyncio.sleep(0.3)
-        back = asyncio.create_task(ledger.request("a2", 0.1, age_s=2.0))
+        back = asyncio.create_task(harness.request("a2", 0.1, age_s=2.0))
         await asyncio.sleep(0.05)
-        await ledger.request("a3", 0.0)
-        faults = ["Who came back went first."] if back.done() else []
+        await harness.request("a3", 0.0)
+        faults = ["The retried request went first."] if back.done() else []
         await asyncio.gather(busy, back)
-        if ledger.served < 3:
-            faults.append(f"Only {ledger.served} of 3 were served.")
+        if harness.served < 3:
+            faults.append(f"Only {harness.served} of 3 were served.")
         return faults
 
 
 async def long_prompt_goes_sooner() -> list[str]:
-    """Who needs longer to read must begin sooner to be on time."""
-    async with Ledger(1, FaultRates(), engines=1, slots=1) as ledger:
+    """A long prompt goes first, as it must begin sooner to be on time."""
+    async with PlacerHarness(1, FaultRates(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
-        busy = asyncio.create_task(ledger.request("a1", 0.2))
+        busy = asyncio.create_task(harness.request("a1", 0.2))
         await asyncio.sleep(0.3)
-        short = asyncio.create_task(ledger.request("a2", 0.1))
+        short = asyncio.create_task(harness.request("a2", 0.1))
         await asyncio.sleep(0.05)
-        await ledger.request("a3", 0.0, prompt_tokens=5000)
+        await harness.request("a3", 0.0, prompt_tokens=5000)
         faults = ["The short prompt went first."] if short.done() else []
         await asyncio.gather(busy, short)
         return faults
 
 
 async def full_home() -> list[str]:
-    """Room elsewhere is taken when home has none for long."""
-    async with Ledger(1, FaultRates(), engines=2, slots=1) as ledger:
+    """A request goes to another engine if its home engine stays full."""
+    async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         long = [
-            asyncio.create_task(ledger.request("a1", 10.0)),
+            asyncio.create_task(harness.request("a1", 10.0)),
         ]
         await asyncio.sleep(0.5)
-        for orders in ledger.placer._orders_by_target.values():
+        for orders in harness.placer._orders_by_target.values():
             if orders.holding.slot_by_name:
                 orders.holding.remember_copy((MODEL, "a2"))
         before = asyncio.get_running_loop().time()
-        await ledger.request("a2", 0.0)
+        await harness.request("a2", 0.0)
         took_s = asyncio.get_running_loop().time() - before
         await asyncio.gather(*long)
-        if ledger.refused or took_s > 1.5:
-            return [f"It waited {took_s:.1f} s for a full home."]
+        if harness.refused or took_s > 1.5:
+            return [f"The request waited {took_s:.1f} s for its full home."]
         return []
 
 
 async def asked_again() -> list[str]:
-    """Whose reply was lost asks again, and counts once from then on.
+    """A request repeated after a lost reply is counted only once.
 
-    At the same engine or at another one: what is counted twice is given
-    back once, and a prompt that nobody reads is believed to grow late.
+    This holds if the new place is at the same engine or at another one. A
+    second count would be left over after the only release, and its prompt
+    would stay in the estimated backlog of an engine that never reads it.
     """
-    async with Ledger(1, FaultRates(), engines=2, slots=1) as ledger:
+    async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
-        ask = ledger.ask("a1")
-        lost = await ledger.placer.on_place(ask)
-        await ledger.placer.on_place(ask)
+        ask = harness.ask("a1")
+        lost = await harness.placer.on_place(ask)
+        await harness.placer.on_place(ask)
         ask = dataclasses.replace(ask, avoid=(lost.target,))
-        place = await ledger.placer.on_place(ask)
+        place = await harness.placer.on_place(ask)
         ended = placement.EndedUse(
             ask.request, place.target, placement.UseOutcome.DONE
         )
-        await ledger.placer.on_release(
+        await harness.placer.on_release(
             placement.ReleaseRequest("entry-1", (ended,))
         )
         await asyncio.sleep(3.0)
         now = asyncio.get_running_loop().time()
         return [
             f"{target} still counts: {summary}"
-            for target, orders in ledger.placer._orders_by_target.items()
+            for target, orders in harness.placer._orders_by_target.items()
             if "running=0 tokens=0 used=0"
             not in (summary := orders.holding.summary(now))
             or orders.holding.reading.backlog_s(now) > 0.0
@@ -644,70 +664,82 @@
 
 
 async def models_in_turn() -> list[str]:
-    """Base models come from the store one at a time, from disks at once."""
-    async with Ledger(1, FaultRates(), engines=5) as ledger:
-        engines = list(ledger.engine_by_id.values())
+    """The store serves one base model at a time; local disks don't wait."""
+    async with PlacerHarness(1, FaultRates(), engines=5) as harness:
+        engines = list(harness.engine_by_id.values())
         for number, engine in enumerate(engines):
-            engine.forget_model(on_disk=number >= 3)
+            engine.drop_model(on_disk=number >= 3)
         most = 0
         for _ in range(100):
             await asyncio.sleep(0.1)
             most = max(most, sum(e.fetching for e in engines))
-        faults = [f"{most} at once from the store"] if most != 1 else []
+        faults = (
+            [f"{most} fetches from the store at once"] if most != 1 else []
+        )
         if not all(engine.model_loaded for engine in engines):
-            faults.append("An engine is left without a model.")
+            faults.append("An engine did not load its model.")
         if engines[4].model_at > 3.0:
-            faults.append("A copy on disk waited for the store.")
+            faults.append("A load from disk waited for the store.")
         return faults
 
 
 async def storm_of_waiters() -> list[str]:
-    """Many who wait cost few decisions, so that the leader keeps its time."""
-    async with Ledger(1, FaultRates(), engines=2, slots=1) as ledger:
+    """Many waiting requests cause few rounds of decisions.
+
+    Otherwise the event loop of the leader has no time for other work.
+    """
+    async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         decided = 0
-        pump = ledger.placer._schedule
+        pump = harness.placer._schedule
 
         def counted() -> None:
             nonlocal decided
             decided += 1
             pump()
-            ledger.placer._schedule_took_s = 0.02
+            harness.placer._schedule_took_s = 0.02
 
-        ledger.placer._schedule = counted
-        ledger.placer._schedule_took_s = 0.02
+        harness.placer._schedule = counted
+        harness.placer._schedule_took_s = 0.02
         tasks = [
-            asyncio.create_task(ledger.request(f"a{n}", 0.1, 1.0))
+            asyncio.create_task(harness.request(f"a{n}", 0.1, 1.0))
             for n in range(200)
         ]
         await asyncio.gather(*tasks)
-        return [f"{decided} decisions"] if decided > 17 else []
+        return [f"{decided} rounds of decisions"] if decided > 17 else []
 
 
 async def named_version() -> list[str]:
-    """A named version is in force for new runs soon after."""
-    async with Ledger(1, FaultRates()) as ledger:
+    """A new default version applies to new runs within 2 s."""
+    async with PlacerHarness(1, FaultRates()) as harness:
         await asyncio.sleep(2.0)
-        await ledger.request("a1", 0.1)
-        ledger.name_version("a1", 7)
-        busy = asyncio.create_task(ledger.request("a1", 3.0))
+        await harness.request("a1", 0.1)
+        harness.name_version("a1", 7)
+        busy = asyncio.create_task(harness.request("a1", 3.0))
         await asyncio.sleep(2.0)
         ask = placement.PlaceRequest(
             "entry-1", "late", POOL, MODEL, "a1", 9, 9, (), 0, 4.0, "mnl-a"
         )
-        place = await ledger.placer.on_place(ask)
+        place = await harness.placer.on_place(ask)
         await busy
-        return [] if place.version == 7 else [f"{place} after 2 s"]
+        return (
+            []
+            if place.version == 7
+            else [f"still placed as {place} after 2 s"]
+        )
 
 
-def _blind(orders, name, version, expected) -> targets.EngineOrder:
-    """Order without saying what is expected, as a mutant does."""
-    return _ORDER(orders, name, version, None)
+def _order_without_expected(
+    orders, name, version, expected
+) -> targets.EngineOrder:
+    """Return an order without the expected sequence, for a mutant."""
+    return _ORIGINAL_ORDER(orders, name, version, None)
 
 
-_ORDER = placement.EngineOrders._order
+_ORIGINAL_ORDER = placement.EngineOrders._order
 
-# Each switches a guard off: its name, its scenario, what it patches.
+# Mutants, each of which disables a guard: name, scenario that must then
+# fail, patched attribute.
 MUTANTS = (
     (
         "send what was settled away",
@@ -767,7 +799,7 @@
     (
         "say nothing of what is expected",
         "random",
-        (placement.EngineOrders, "_order", _blind),
+        (placement.EngineOrders, "_order", _order_without_expected),
     ),
 )
 
@@ -794,13 +826,13 @@
     """Run a scenario in virtual time."""
     loop = looptime.new_event_loop()
     try:
-        return loop.run_until_complete(_then_cancel_all(work))
+        return loop.run_until_complete(_run_and_cancel_tasks(work))
     finally:
         loop.close()
 
 
-async def _then_cancel_all(work) -> list[str]:
-    """Return what the work returns, and leave no task behind."""
+async def _run_and_cancel_tasks(work) -> list[str]:
+    """Return the result of the work, after cancelling its other tasks."""
     try:
         return await work
     finally:
@@ -816,12 +848,12 @@
 
 
 def disabled_guard(guard: tuple) -> contextlib.AbstractContextManager:
-    """Patch an attribute: its owner, its name, and what stands for it."""
+    """Patch a guard, given as owner, attribute name and replacement."""
     return unittest.mock.patch.object(*guard)
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
     with disabled_guard(guard):
         if scenario != "random":
@@ -830,8 +862,10 @@
 
 
 def run_random(seed: int) -> list[str]:
-    """Run random loads with bad luck of every mix."""
+    """Run a random load with fault rates chosen by the seed."""
     rng = random.Random(seed)
-    luck = FaultRates(rng.choice((0, 0.1, 0.35)), rng.choice((0, 0.1, 0.3)))
-    faults = run(random_load(seed, luck))
-    return [f"seed {seed}, {luck}: {fault}" for fault in faults]
+    fault_rates = FaultRates(
+        rng.choice((0, 0.1, 0.35)), rng.choice((0, 0.1, 0.3))
+    )
+    faults = run(random_load(seed, fault_rates))
+    return [f"seed {seed}, {fault_rates}: {fault}" for fault in faults]
