--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -1,7 +1,8 @@
-"""A scenario for each promise, made to break it if its guard is off.
+"""Scenarios and mutants for the guarantees of the system.
 
-Each runs in virtual time and returns what was broken. A mutant switches
-one guard off; the scenario must then find something.
+Each scenario runs in virtual time and returns the violations it found. A
+mutant disables one guard in the code; its scenario must then report at
+least one violation.
 """
 
 import asyncio
@@ -31,7 +32,7 @@
 async def _send(
     world: World, count: int, pause_s: float, **kwargs: typing.Any
 ) -> list:
-    """Send model requests at even distances and return their answers."""
+    """Send model requests at a fixed interval and return their answers."""
     tasks = []
     for number in range(count):
         up = [p for p in world.places if p.up and not p.frozen]
@@ -45,7 +46,7 @@
 
 
 def _refusals(promise: str, answers: list) -> list[str]:
-    """Return a fault for each answer that should have been none."""
+    """Return a violation for each answer that ended with an error."""
     return [
         f"{promise}: {answer.error!r}"
         for answer in answers
@@ -54,7 +55,11 @@
 
 
 async def exact_adapter(seed: int = 1) -> list[str]:
-    """Engines that answer from any adapter restart empty all the time."""
+    """Engines restart repeatedly and lose all adapters.
+
+    They check no incarnation and answer with any adapter if the requested
+    one is missing.
+    """
     engine = standins.EngineSettings(
         3, 4, 0.02, checks_incarnation=False, sloppy=True
     )
@@ -89,7 +94,7 @@
 
 
 async def never_evicted(seed: int = 1) -> list[str]:
-    """Many adapters press on few slots while owners come and go."""
+    """Many adapters compete for few slots while ownership changes."""
     engine = standins.EngineSettings(2, 4, 0.04)
     daemon = {"placement": {"min_residence_s": 0.1, "drain_after_s": 0.5}}
     settings = Settings(
@@ -108,7 +113,7 @@
 
 
 async def orphaned_runs(seed: int = 1) -> list[str]:
-    """Long runs outlive their owner while others press for slots."""
+    """Long runs outlive their owner while others compete for slots."""
     engine = standins.EngineSettings(2, 16, 0.04)
     daemon = {"placement": {"min_residence_s": 0.1, "orphan_grace_s": 20.0}}
     settings = Settings(
@@ -132,7 +137,7 @@
 
 
 async def own_whole_answer(seed: int = 1) -> list[str]:
-    """Chunks come twice, crossed with others, or not at all."""
+    """Chunks are duplicated, mixed between streams, or lost."""
     async with World(Settings(seed=seed)) as world:
         await _send(world, 10, 0.1)
         for links in world.links.values():
@@ -147,7 +152,7 @@
 
 
 async def not_run_means_it(seed: int = 1) -> list[str]:
-    """Replies are lost after the run began, and deadlines are short."""
+    """Replies are lost after the run started, and deadlines are short."""
     async with World(Settings(seed=seed)) as world:
         await _send(world, 10, 0.1)
         for links in world.links.values():
@@ -164,7 +169,7 @@
 
 
 async def at_most_once(seed: int = 1) -> list[str]:
-    """Callers resend over lost replies and killed entries."""
+    """Callers resend after lost replies and killed entry instances."""
     async with World(Settings(seed=seed)) as world:
         tasks = []
         for number in range(40):
@@ -189,7 +194,7 @@
 
 
 async def expired_keys(seed: int = 1) -> list[str]:
-    """A resend comes after its claim was forgotten."""
+    """A resend arrives after its idempotency claim has expired."""
     daemon = {"claim_retention_s": 10.0}
     async with World(Settings(seed=seed, daemon=daemon)) as world:
         key = f"{int(world.wall_s())}-late"
@@ -203,7 +208,7 @@
 
 
 async def leaving_target(seed: int = 1) -> list[str]:
-    """A target leaves; the list shows it late."""
+    """A target is leaving; the instance list reports it late."""
     async with World(Settings(seed=seed)) as world:
         sending = asyncio.create_task(_send(world, 120, 0.1))
         await asyncio.sleep(2.0)
@@ -216,7 +221,7 @@
 
 
 async def leaving_unlisted(seed: int = 1) -> list[str]:
-    """A target leaves while the list can't be reached."""
+    """A target is leaving while the instance list is unreachable."""
     async with World(Settings(seed=seed)) as world:
         world.list_link.cut = True
         sending = asyncio.create_task(_send(world, 120, 0.1))
@@ -236,7 +241,7 @@
         tasks = []
         stops = []
         for number in range(60):
-            # Callers hold old answers, so they still come to those two.
+            # Callers with cached addresses still reach the stopping daemons.
             accepting = [
                 p for p in world.places if p.up and p.daemon.accepting
             ]
@@ -264,7 +269,7 @@
 
 
 async def changes_survive_power_loss(seed: int = 1) -> list[str]:
-    """All replicas lose power at once, right after acknowledgements."""
+    """All replicas lose power at once, right after acknowledging a write."""
     async with World(Settings(seed=seed)) as world:
         for number in range(5):
             value = world_lib.adapter_value("tahi", ("v1", f"n{number}"))
@@ -281,7 +286,11 @@
 
 
 async def changes_reach_cut_off(seed: int = 1) -> list[str]:
-    """An entry, then a leader with an entry, is cut off for long."""
+    """Changes reach daemons after a long network partition.
+
+    The first partition isolates one entry instance; the second isolates
+    the leader together with an entry instance.
+    """
     async with World(Settings(seed=seed)) as world:
         world.network.isolate(world.place(4).address)
         await world.put("adapter", "new-1", world_lib.adapter_value("tahi"))
@@ -306,7 +315,10 @@
 
 
 async def operators_race(seed: int = 1) -> list[str]:
-    """Operators write the same revision, and resend with one id."""
+    """Operators write concurrently at one revision.
+
+    They also resend a change under its operation id.
+    """
     async with World(Settings(seed=seed)) as world:
         faults = []
         for number in range(10):
@@ -323,10 +335,14 @@
             won = [r for r in replies if r and r.conflict is None]
             lost = [r for r in replies if r and r.conflict is not None]
             if len(won) > 1:
-                faults.append(f"changes: {len(won)} won")
+                faults.append(
+                    f"changes: {len(won)} writes at one revision succeeded"
+                )
             for reply in lost:
                 if won and reply.revision != won[0].revision:
-                    faults.append("changes: the loser saw another entry")
+                    faults.append(
+                        "changes: a conflict reports a wrong revision"
+                    )
             operation = f"resent-{number}"
             first = await world.put(
                 "adapter", "adapter-3", value, operation_id=operation
@@ -337,7 +353,7 @@
                 "adapter", "adapter-3", value, operation_id=operation
             )
             if first != again:
-                faults.append("changes: a resend was made again")
+                faults.append("changes: a resent change was applied twice")
             world.network.heal()
             await asyncio.sleep(1.5)
         await asyncio.sleep(9.0)
@@ -345,7 +361,10 @@
 
 
 async def frozen_owner(seed: int = 1) -> list[str]:
-    """Owners freeze past their lease and wake; engines ignore fencing."""
+    """Owners freeze past the end of their lease, then resume.
+
+    The engines don't check fencing tokens.
+    """
     engine = standins.EngineSettings(2, 4, 0.03, refuses_old=False)
     daemon = {"placement": {"min_residence_s": 0.1}}
     settings = Settings(
@@ -373,7 +392,7 @@
 
 
 async def moving_targets(seed: int = 1) -> list[str]:
-    """Targets move between owners all the time; no caller is refused."""
+    """Targets change owner repeatedly; no caller is refused."""
     async with World(Settings(seed=seed)) as world:
         sending = asyncio.create_task(_send(world, 100, 0.1))
         for _ in range(4):
@@ -387,7 +406,7 @@
 
 
 async def moving_leader(seed: int = 1) -> list[str]:
-    """Leadership moves all the time; no caller is refused."""
+    """Leadership is transferred repeatedly; no caller is refused."""
     daemon = {"list_interval_s": 2.0}
     async with World(Settings(seed=seed, daemon=daemon)) as world:
         sending = asyncio.create_task(_send(world, 120, 0.1))
@@ -402,7 +421,10 @@
 
 
 async def leave_at_dispatch(seed: int = 1) -> list[str]:
-    """Callers go away at the very moment their request may run."""
+    """Callers disconnect at the moment their request is dispatched.
+
+    The run's slot must be released all the same.
+    """
     original = placement.EngineOwner._dispatch
     leaving = asyncio.Event()
 
@@ -432,12 +454,14 @@
             for place in world.places:
                 for target, owner in place.daemon.owners.by_target.items():
                     if owner.active:
-                        faults.append(f"leak: {target}: {owner.active} runs")
+                        faults.append(
+                            f"leak: {target}: {owner.active} active runs"
+                        )
             return faults
 
 
 async def cut_off_owner(seed: int = 1) -> list[str]:
-    """Owners are cut off from all others, but not from their engines."""
+    """Owners are partitioned from all daemons but reach their engines."""
     async with World(Settings(seed=seed)) as world:
         sending = asyncio.create_task(_send(world, 120, 0.1, deadline_s=15.0))
         for number in range(2):
@@ -451,10 +475,11 @@
 
 
 async def runs_outlast_a_lease(seed: int = 1) -> list[str]:
-    """A limit holds while runs of a cut-off daemon outlast its lease.
+    """A limit holds while runs of a partitioned daemon outlast its lease.
 
-    Its share is free once the lease has surely ended; what it admitted
-    before goes on at its engines, which are not cut off.
+    Its share of the limit may be reassigned once the lease has certainly
+    expired, but the runs it admitted continue at its engines, which it
+    still reaches.
     """
     settings = Settings(seed=seed, member_concurrency=6)
     async with World(settings) as world:
@@ -473,8 +498,9 @@
 async def runs_outlast_a_leader(seed: int = 1) -> list[str]:
     """A limit holds while a daemon's runs outlast its lease and its leader.
 
-    The next leader never heard of the silent daemon. It gave its share to
-    others as soon as the lease had surely ended.
+    A new leader that never received a heartbeat of the partitioned daemon
+    used to reassign the daemon's share as soon as the lease had certainly
+    expired, while its runs still went on.
     """
     settings = Settings(seed=seed, member_concurrency=6)
     async with World(settings) as world:
@@ -492,7 +518,7 @@
 
 
 async def shares_noted_before(seed: int = 1) -> list[str]:
-    """A log of a former release is read: it names sharers by boot alone."""
+    """An old log and snapshot that list sharers by boot id are readable."""
     entry = wire.decode(
         b'{"note_sharers": {"joined": ["a#1"], "gone": ["b#1"]}}',
         catalogue.Command,
@@ -509,11 +535,12 @@
 
 
 async def waiting_past_a_lease(seed: int = 1) -> list[str]:
-    """Who waits for a share at a daemon that is cut off is sent elsewhere.
+    """Requests waiting at a daemon that loses its lease are refused.
 
-    Callers' requests began up to 3.4 s after their daemon's lease had
-    ended, on a share that others were given meanwhile: a run that ended
-    woke the next that waited, and nobody looked at the lease again.
+    Guards against requests that start after the lease has ended, up to
+    3.4 s later, on a share that was reassigned meanwhile. When a run ended,
+    the daemon admitted the next waiting request without checking its lease.
+    The refusal tells the caller to use another daemon.
     """
     settings = Settings(seed=seed, member_concurrency=1)
     async with World(settings) as world:
@@ -528,22 +555,22 @@
         await asyncio.sleep(3.5)
         faults = []
         if running.done():
-            faults.append("waiting: nothing ran past the lease")
+            faults.append("waiting: the first run ended before the lease did")
         for task in waiting:
             error = task.result().error if task.done() else None
             if not isinstance(error, wire.CutOffError) or not error.use:
-                faults.append(f"waiting: got {error!r}")
+                faults.append(f"waiting: expected a redirect, got {error!r}")
         world.network.heal()
         await asyncio.gather(running, *waiting)
         return faults + world.oracle.check_at_end()
 
 
 async def first_lease_lasts(seed: int = 1) -> list[str]:
-    """A daemon that was just given a lease is not cut off a moment later.
+    """A daemon's first lease lasts until its next heartbeat is answered.
 
-    A first command right after a start was refused now and then. The first
-    heartbeat had waited at each replica in turn for a leader, 1.2 to 1.4 s,
-    and the lease counted from before that: it ended within 0.2 s, before
+    Guards against refusing the first command after a start. The first
+    heartbeat waited for a leader at each replica in turn, 1.2 to 1.4 s, and
+    the lease counted from before that wait. It expired within 0.2 s, before
     the next heartbeat was answered.
     """
     lease = {"lease_s": 1.5, "heartbeat_s": 0.2, "order_flight_s": 0.2}
@@ -552,12 +579,14 @@
     watching = asyncio.create_task(_lapses(world, 5.0))
     async with world:
         lapsed = await watching
-        faults = [f"lease: {name} was cut off" for name in sorted(lapsed)]
+        faults = [
+            f"lease: {name} lost its first lease" for name in sorted(lapsed)
+        ]
         return faults + world.oracle.check_at_end()
 
 
 async def _lapses(world: World, watched_s: float) -> set[str]:
-    """Return which daemons lost a lease once they had one."""
+    """Return the names of the daemons that held a lease and lost it."""
     loop = asyncio.get_running_loop()
     held: set[str] = set()
     lapsed: set[str] = set()
@@ -575,7 +604,10 @@
 
 
 async def limits_over_all(seed: int = 1) -> list[str]:
-    """A limit of three holds over all daemons, and is used."""
+    """A limit of three concurrent requests holds across all daemons.
+
+    At least 20 of the 60 requests must be answered.
+    """
     settings = Settings(seed=seed, member_concurrency=3)
     async with World(settings) as world:
         answers = await _send(world, 60, 0.05, tokens=10)
@@ -587,10 +619,10 @@
 
 
 async def limits_over_leaders(seed: int = 1) -> list[str]:
-    """A limit holds while leaders change and daemons are silent meanwhile.
+    """A limit holds while leaders change and daemons send no heartbeats.
 
-    A leader that raised shares before it heard from all that may hold some
-    of its predecessor's would give the same part of the limit twice.
+    A leader that raised shares before every daemon that may hold a share
+    from its predecessor has reported would grant part of the limit twice.
     """
     settings = Settings(seed=seed, member_concurrency=6)
     async with World(settings) as world:
@@ -618,7 +650,7 @@
 
 
 async def rate_over_all(seed: int = 1) -> list[str]:
-    """A rate of five a second holds over all daemons."""
+    """A rate limit of 5 requests/s holds across all daemons."""
     async with World(Settings(seed=seed)) as world:
         value = {
             "token_sha256": catalogue.hash_token("tahi-token"),
@@ -639,7 +671,7 @@
         spent_s = asyncio.get_running_loop().time() - started
         done = sum(answer.error is None for answer in answers)
         faults = world.oracle.check_at_end()
-        # One burst is allowed on each of the five daemons.
+        # Allows for one burst on each of the five daemons.
         if done > 5.0 * spent_s + 5 + 5:
             faults.append(f"limits: {done} admitted in {spent_s:.1f} s")
         if done < 10:
@@ -681,7 +713,7 @@
 SCENARIO_BY_NAME = {scenario.__name__: scenario for scenario in SCENARIOS}
 
 
-# Mutants: each switches one guard off.
+# Mutants: each disables one guard.
 
 
 def _any_stamp(self, stream, chunk) -> bool:
@@ -702,7 +734,7 @@
 
 @contextlib.contextmanager
 def no_stamp_check() -> collections.abc.Iterator[None]:
-    """Take any chunk for the answer."""
+    """Accept any chunk, whatever run, adapter or position it belongs to."""
     with (
         patch(placement.EngineOwner, "_accept", _any_stamp),
         patch(routing.Entry, "_part", _any_part),
@@ -712,14 +744,14 @@
 
 @contextlib.contextmanager
 def no_pins() -> collections.abc.Iterator[None]:
-    """Let serving adapters be evicted."""
+    """Allow the eviction of adapters with active runs."""
     with patch(_residents.Resident, "pinned", property(lambda _: False)):
         yield
 
 
 @contextlib.contextmanager
 def no_doubt() -> collections.abc.Iterator[None]:
-    """Trust that nothing runs that this owner did not start."""
+    """Assume that engines run only what this owner started."""
 
     def believe(self, name, report, as_of) -> None:
         if name not in self.by_name:
@@ -734,7 +766,7 @@
 
 @contextlib.contextmanager
 def lost_means_not_run() -> collections.abc.Iterator[None]:
-    """Take a lost reply for a request that did not run."""
+    """Report requests with a lost reply as not run."""
     with (
         patch(wire.PeerLostError, "ran", wire.Ran.NOT_RUN),
         patch(wire.DeadlineError, "ran", wire.Ran.NOT_RUN),
@@ -745,7 +777,7 @@
 
 @contextlib.contextmanager
 def no_claims() -> collections.abc.Iterator[None]:
-    """Let every attempt win its key."""
+    """Grant every attempt its idempotency key."""
 
     def won(self, claim) -> catalogue.ClaimReply:
         return catalogue.ClaimReply(catalogue.ClaimState.WON, claim.attempt)
@@ -756,7 +788,7 @@
 
 @contextlib.contextmanager
 def no_floor() -> collections.abc.Iterator[None]:
-    """Forget claims without refusing their keys."""
+    """Drop expired claims without refusing their keys afterwards."""
     original = catalogue.CatalogueMachine._raise_floor
 
     def raise_floor(self, raised) -> int:
@@ -770,7 +802,7 @@
 
 @contextlib.contextmanager
 def leaving_ignored() -> collections.abc.Iterator[None]:
-    """Go on sending work to targets that leave."""
+    """Keep sending work to targets that are leaving."""
     original = control.DigestLog.put_target
 
     def put_target(self, info) -> None:
@@ -782,7 +814,7 @@
 
 @contextlib.contextmanager
 def stop_at_once() -> collections.abc.Iterator[None]:
-    """Stop without waiting for requests."""
+    """Stop without waiting for requests in progress."""
 
     async def stop(self) -> None:
         self.accepting = False
@@ -793,7 +825,7 @@
 
 @contextlib.contextmanager
 def no_syncs() -> collections.abc.Iterator[None]:
-    """Acknowledge without a sync."""
+    """Acknowledge writes without syncing them to disk."""
 
     async def sync(self) -> None:
         return None
@@ -804,7 +836,7 @@
 
 @contextlib.contextmanager
 def endless_leases() -> collections.abc.Iterator[None]:
-    """Act on a lease for ever once it was given."""
+    """Treat a lease as valid for ever once it was granted."""
 
     def fresh(self) -> bool:
         return self.lease_until > 0
@@ -815,7 +847,7 @@
 
 @contextlib.contextmanager
 def leader_for_ever() -> collections.abc.Iterator[None]:
-    """Lead on without a majority."""
+    """Remain leader without contact to a majority."""
     with (
         patch(quorum.Node, "holds_lease", lambda self: self.is_leader),
         patch(quorum.Node, "_check_quorum", lambda self: None),
@@ -825,7 +857,7 @@
 
 @contextlib.contextmanager
 def no_compare() -> collections.abc.Iterator[None]:
-    """Ignore the revision that a writer saw."""
+    """Ignore the revision that a write expects."""
     original = catalogue.CatalogueMachine._put_once
 
     def put_once(self, index, put):
@@ -839,7 +871,7 @@
 
 @contextlib.contextmanager
 def operations_forgotten() -> collections.abc.Iterator[None]:
-    """Make a resent change again."""
+    """Apply a resent change again."""
 
     def put(self, index, put):
         return self._put_once(index, put)
@@ -850,7 +882,7 @@
 
 @contextlib.contextmanager
 def owners_at_once() -> collections.abc.Iterator[None]:
-    """Give a target away before the old lease has ended."""
+    """Reassign a target before its owner's lease has ended."""
     timing = control.LeaseTiming
     ended = property(lambda self: self.heartbeat_s * 1.5)
     with patch(timing, "surely_ended_s", ended):
@@ -859,14 +891,14 @@
 
 @contextlib.contextmanager
 def no_gate() -> collections.abc.Iterator[None]:
-    """Send orders without a look at the lease."""
+    """Send orders to engines without checking the lease."""
     with patch(placement.EngineOwner, "_owns", lambda self: True):
         yield
 
 
 @contextlib.contextmanager
 def shares_unbounded() -> collections.abc.Iterator[None]:
-    """Give every daemon the whole limit."""
+    """Grant every daemon the whole limit."""
 
     def grant(self, key, boot, limit, may_raise) -> int:
         return limit
@@ -877,7 +909,7 @@
 
 @contextlib.contextmanager
 def first_try_counts() -> collections.abc.Iterator[None]:
-    """Count a lease from the first try of its heartbeat."""
+    """Start a lease at the first attempt of its heartbeat, not the last."""
     original = control.Session._sending
     noted: dict[str, int] = {}
 
@@ -892,7 +924,7 @@
 
 @contextlib.contextmanager
 def shares_free_at_once() -> collections.abc.Iterator[None]:
-    """Give a silent daemon's share away while its runs may go on."""
+    """Reassign a silent daemon's share while its runs may continue."""
 
     def lapse(self, boot, held_by_key) -> None:
         self.drop(boot)
@@ -903,17 +935,18 @@
 
 @contextlib.contextmanager
 def waiting_unchecked() -> collections.abc.Iterator[None]:
-    """Let requests wait on past the end of a lease."""
+    """Keep requests waiting past the end of a lease."""
     with patch(routing.Admission, "_refuse_waiting", lambda *_: None):
         yield
 
 
 @contextlib.contextmanager
 def shares_at_once() -> collections.abc.Iterator[None]:
-    """Raise shares before it is known who holds some.
+    """Raise shares before the leader knows all daemons that hold some.
 
-    Two guards hold here: shares are not raised before, and what the log
-    says of silent daemons is kept back. Either is enough for a moment.
+    Disables two guards, either of which alone suffices for a short time:
+    shares are not raised before that, and shares of silent daemons in the
+    log stay reserved.
     """
     with shares_free_at_once():
         with patch(control.Coordinator, "_may_raise", lambda *_: True):
@@ -922,7 +955,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mutant:
-    """A guard that is off, and the scenario that must notice."""
+    """A disabled guard and the scenario that must detect it.
+
+    Args:
+        promise: number of the guarantee that the guard protects.
+        guard_off: context manager that disables the guard.
+    """
 
     promise: int
     scenario: str
@@ -963,7 +1001,7 @@
 
 
 def run_scenario(name: str, seed: int = 1) -> list[str]:
-    """Run a scenario in virtual time; a crash counts as a finding."""
+    """Run a scenario in virtual time; a crash counts as a violation."""
     try:
         return world_lib.run_virtual(SCENARIO_BY_NAME[name](seed))
     except Exception as error:
@@ -971,6 +1009,6 @@
 
 
 def run_mutant(mutant: Mutant) -> list[str]:
-    """Run a mutant's scenario with its guard off."""
+    """Run a mutant's scenario with its guard disabled."""
     with mutant.guard_off():
         return run_scenario(mutant.scenario)
