--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix: every fault at every step, from two lists."""
+"""The fault matrix: injects every fault at every step of wire.Step."""
 
 import asyncio
 import collections.abc
@@ -32,7 +32,7 @@
 
 
 async def _later(world: World, delay_s: float, work) -> None:
-    """Do something later, beside the rest."""
+    """Run work after a delay, in a background task."""
 
     async def wait_and_do() -> None:
         await asyncio.sleep(delay_s)
@@ -42,19 +42,19 @@
 
 
 def _replica(place: Place) -> Place:
-    """Return the place if it has a disk, else one that has."""
+    """Return the place if it is a replica, else the first replica."""
     return place if place.disk is not None else place.world.place(0)
 
 
 async def kill(place: Place) -> None:
-    """Kill the process; it starts again after 2 s."""
+    """Kill the process and restart it after 2 s."""
     world = place.world
     await _later(world, 2.0, lambda: world.restart(place))
     await world.kill_here(place)
 
 
 async def freeze(place: Place) -> None:
-    """Freeze the process past its lease, then wake it."""
+    """Freeze the process past the end of its lease, then resume it."""
     world = place.world
 
     async def wake() -> None:
@@ -66,7 +66,7 @@
 
 
 async def lose_disk(place: Place) -> None:
-    """Kill a replica and start it with a blank disk."""
+    """Kill a replica and restart it with a blank disk."""
     world = place.world
     place = _replica(place)
 
@@ -81,9 +81,9 @@
 
 
 async def _wait_others_voting(world: World, place: Place) -> None:
-    """Wait until no other disk is being replaced.
+    """Wait until all other replicas vote, for 20 s at the most.
 
-    Two disks of three lost at once are more than the log can bear.
+    Losing two disks of three at once loses the log's majority.
     """
     for _ in range(200):
         if others_voting(world, place):
@@ -92,12 +92,12 @@
 
 
 async def failed_sync(place: Place) -> None:
-    """Let every sync of a replica fail."""
+    """Make every sync of a replica fail."""
     _replica(place).disk.fail_syncs = True
 
 
 async def full_disk(place: Place) -> None:
-    """Let every write of a replica fail."""
+    """Make every write of a replica fail."""
     _replica(place).disk.full = True
 
 
@@ -131,17 +131,17 @@
 
 
 async def cut_outward(place: Place) -> None:
-    """Lose all that the daemon sends to others."""
+    """Drop all messages that the daemon sends to others."""
     await _cut(place, PAST_LEASE_S, True, False)
 
 
 async def cut_inward(place: Place) -> None:
-    """Lose all that others send to the daemon."""
+    """Drop all messages that others send to the daemon."""
     await _cut(place, PAST_LEASE_S, False, True)
 
 
 async def long_partition(place: Place) -> None:
-    """Cut the daemon off for many leases."""
+    """Cut the daemon off for several times its lease."""
     await _cut(place, LONG_S, True, True)
 
 
@@ -154,7 +154,7 @@
 
 
 def world_heal_network(world: World):
-    """Return work that ends faults of the network."""
+    """Return a coroutine function that ends all network faults."""
 
     async def heal() -> None:
         world.network.heal()
@@ -163,7 +163,7 @@
 
 
 async def lost_replies(place: Place) -> None:
-    """Lose the replies of all targets for a while."""
+    """Drop the replies of all targets for 1.5 s."""
     world = place.world
     for links in world.links.values():
         for link in links:
@@ -178,13 +178,13 @@
 
 
 async def engines_restart(place: Place) -> None:
-    """Restart all engines empty."""
+    """Restart all engines without any resident adapter."""
     for engine in place.world.engine_by_address.values():
         engine.restart()
 
 
 async def loads_fail(place: Place) -> None:
-    """Let all loads fail for a while."""
+    """Make all loads fail for 2 s."""
     world = place.world
     for engine in world.engine_by_address.values():
         engine.load_fault = wire.EngineError("The load failed.")
@@ -197,7 +197,7 @@
 
 
 async def loads_hang(place: Place) -> None:
-    """Let all loads hang for a while."""
+    """Make loads that start within 2 s hang for 3 s."""
     world = place.world
     for engine in world.engine_by_address.values():
         engine.load_hang_s = 3.0
@@ -210,7 +210,7 @@
 
 
 async def target_leaves(place: Place) -> None:
-    """Mark an engine as leaving in the list."""
+    """Mark an engine as leaving in the instance list."""
     world = place.world
     world.leaving.add("runner-0")
     world.publish()
@@ -219,7 +219,7 @@
 
 
 async def list_empty(place: Place) -> None:
-    """Show an empty instance list for a while."""
+    """Serve an empty instance list for 5 s."""
     world = place.world
     world.missing = {"runner-0", "runner-1", "app-0", "app-1"}
     world.publish()
@@ -232,12 +232,12 @@
 
 
 async def list_cut(place: Place) -> None:
-    """Put the instance list out of reach."""
+    """Make the instance list unreachable."""
     place.world.list_link.cut = True
 
 
 async def operators_race(place: Place) -> None:
-    """Let operators write one revision at once."""
+    """Write one entry concurrently from all daemons at one revision."""
     world = place.world
 
     async def race() -> None:
@@ -253,13 +253,15 @@
         )
         won = [r for r in replies if r is not None and r.conflict is None]
         if len(won) > 1:
-            world.oracle.faults.append(f"changes: {len(won)} won one race")
+            world.oracle.faults.append(
+                f"changes: {len(won)} writes at one revision succeeded"
+            )
 
     await _later(world, 0.0, race)
 
 
 async def second_loss_in_repair(place: Place) -> None:
-    """Lose a second replica while a lost disk is replaced."""
+    """Stop a second replica while the first recovers from a lost disk."""
     world = place.world
     replicas = [p for p in world.places if p.disk is not None]
     first = _replica(place)
@@ -280,7 +282,7 @@
 
 
 async def planned_stop(place: Place) -> None:
-    """Stop the daemon as planned, then start it."""
+    """Stop the daemon gracefully, then restart it."""
     world = place.world
     await _later(world, 0.0, lambda: stop_and_start(place))
 
@@ -314,7 +316,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Case:
-    """One fault at one step."""
+    """One fault before, during or after one step."""
 
     fault: str
     step: str
@@ -322,17 +324,18 @@
 
     @property
     def name(self) -> str:
-        """A readable name."""
+        """The fault, moment and step, separated by blanks."""
         return f"{self.fault} {self.when} {self.step}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CaseResult:
-    """How a case went.
+    """The result of a case.
 
     Args:
-        fired: whether its step was reached with the fault armed.
-        faults: broken promises, empty when it passed.
+        fired: whether the step was reached, so that the fault was injected.
+        faults: violations found, empty if the case passed.
+        seconds: real time that the case took.
     """
 
     case: Case
@@ -342,7 +345,7 @@
 
 
 def all_cases() -> list[Case]:
-    """Return every fault at every step, at each of the three moments."""
+    """Return a case for every fault, step and moment."""
     return [
         Case(name, str(step), when)
         for name in FAULT_BY_NAME
@@ -352,7 +355,7 @@
 
 
 def usual_cases() -> list[Case]:
-    """Return every fault at every step, the moments taken in turn."""
+    """Return a case for every fault and step, rotating the moments."""
     return [
         Case(name, str(step), WHENS[(row + column) % len(WHENS)])
         for row, name in enumerate(FAULT_BY_NAME)
@@ -361,7 +364,7 @@
 
 
 def arm(world: World, case: Case) -> None:
-    """Let the fault come when the step is next reached."""
+    """Schedule the fault for the next time that its step is reached."""
     fault = FAULT_BY_NAME[case.fault]
     step = wire.Step(case.step)
 
@@ -373,7 +376,7 @@
         return
     world.armed[(step, wire.Phase(case.when))] = fault
     if case.when == AFTER and step in ONLY_BEFORE:
-        # The next step on the way stands for the moment after.
+        # These steps report no AFTER phase: a short delay replaces it.
         world.armed[(step, wire.Phase.BEFORE)] = during
 
 
@@ -390,7 +393,7 @@
 
 
 async def _load(world: World) -> None:
-    """Callers, operators and planned events for some seconds."""
+    """Run calls, edits and scheduled events for LOAD_FOR_S seconds."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     tasks: set[asyncio.Task] = set()
@@ -424,7 +427,7 @@
 
 
 async def _events(world: World) -> None:
-    """Make every step happen: an election, a blank disk, a stop."""
+    """Cause the rare steps: an election, a blank disk and a stop."""
     await asyncio.sleep(1.0)
     leader = world.leader()
     if leader is not None:
@@ -447,7 +450,7 @@
 
 
 def others_voting(world: World, blank: Place) -> bool:
-    """Whether the log survives the loss of this disk."""
+    """Whether all other replicas vote, so that this disk may be lost."""
     return all(
         place.up
         and not place.frozen
@@ -460,7 +463,10 @@
 
 
 async def stop_and_start(place: Place) -> None:
-    """Stop a daemon as planned; no request in it may be cut off."""
+    """Stop a daemon gracefully and restart it.
+
+    No request in progress may be aborted by the stop.
+    """
     world = place.world
     if not place.up or place.frozen or place.daemon.stopping:
         return
@@ -474,14 +480,16 @@
 
 
 async def check_whole(world: World) -> None:
-    """Everything works again once the faults are over."""
+    """End all faults, then check that a change and requests succeed."""
     await world.heal()
     await asyncio.sleep(2.0)
     reply = await world.put(
         "adapter", "adapter-0", world_lib.adapter_value("tahi")
     )
     if reply is None or reply.conflict is not None:
-        world.oracle.faults.append(f"recovery: no change is taken {reply}")
+        world.oracle.faults.append(
+            f"recovery: a change was not accepted: {reply}"
+        )
     for adapter in range(4):
         at = world.places[adapter % len(world.places)]
         answer = await world.complete(adapter, at, deadline_s=30.0)
@@ -510,7 +518,7 @@
 
 
 def run_in_virtual_time(case: Case) -> CaseResult:
-    """Run one case on its own loop; a crash is a failure."""
+    """Run one case on an event loop of its own; a crash is a failure."""
     started = time.perf_counter()
     try:
         return world_lib.run_virtual(run_case(case))
