--- a/features/support/world.py
+++ b/features/support/world.py
@@ -1,7 +1,8 @@
-"""A whole system in one process and in virtual time.
+"""Simulates a whole cluster in one process and in virtual time.
 
-The daemons are the real ones; disks, network and targets are small fakes
-at the interfaces. Faults can be injected at named steps.
+The daemons are real; the disks, the network and the targets are in-memory
+fakes behind the daemons' interfaces. Faults can be injected at the steps
+that wire.Step names.
 """
 
 import asyncio
@@ -25,9 +26,9 @@
 from features.support import oracle
 
 WALL_START_S = 1_800_000_000.0
-# Of processor time: on a busy machine others take most of the real time.
+# Limits processor time: real time also depends on other processes.
 LONGEST_WORK_S = 45
-# Work that waits for what never comes takes no processor time.
+# Limits real time: a coroutine that waits for ever uses no processor time.
 LONGEST_REAL_S = 900
 OPERATOR = "ops"
 CENTRES = ("mnl-a", "mnl-b", "mnl-c")
@@ -39,7 +40,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorldSettings:
-    """Sizes and shapes of a world."""
+    """Sizes and settings of a simulated cluster.
+
+    Args:
+        load_s: time to load an adapter into an engine.
+        daemon: settings that replace the defaults of every daemon.
+    """
 
     seed: int = 1
     daemons: int = 5
@@ -57,7 +63,7 @@
 
 
 class FaultSteps(wire.Steps):
-    """Runs an armed action when its step is first reached."""
+    """Runs a scheduled action when its step is first reached."""
 
     def __init__(self, place: "Place") -> None:
         self._place = place
@@ -72,7 +78,7 @@
 
 
 class Place:
-    """An entry instance: its address, its disk and its process."""
+    """An entry instance: its address, its disk and its daemon process."""
 
     def __init__(self, world: "World", number: int) -> None:
         self.world = world
@@ -90,7 +96,7 @@
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether its process is running."""
         return self.host is not None and not self.host.dead
 
     def link_to(self, address: str) -> standins.Link:
@@ -110,7 +116,7 @@
 
 
 class World:
-    """Daemons, stand-ins and an oracle; an async context manager."""
+    """A cluster of daemons, fakes and an oracle; an async context manager."""
 
     def __init__(self, settings: WorldSettings = WorldSettings()) -> None:
         self.settings = settings
@@ -152,7 +158,7 @@
         await self._create_entries()
         newest = max(change.revision for change in self.oracle.changes)
         await self.settle(lambda: self.all_applied(newest), 10)
-        # A new leader gives no shares before earlier leases have ended.
+        # A new leader grants no shares before earlier leases have expired.
         await asyncio.sleep(4.0)
         self.oracle.start()
         return self
@@ -167,11 +173,11 @@
     # Starting and stopping.
 
     def place(self, number: int) -> Place:
-        """Return a place by number."""
+        """Return an entry instance by number."""
         return self.places[number]
 
     def daemon_settings(self, place: Place) -> settings_lib.DaemonSettings:
-        """Return the settings of a place's daemon."""
+        """Return the settings of an instance's daemon."""
         replicas = [p.address for p in self.places if p.disk is not None]
         values = {
             "name": place.name,
@@ -190,7 +196,7 @@
         return settings_lib.parse(json.dumps(values))
 
     async def start(self, place: Place) -> None:
-        """Start a place's process."""
+        """Start the process of an instance."""
         if place.disk is not None:
             place.disk.start_again()
         place.frozen = False
@@ -211,7 +217,7 @@
         await daemon.__aenter__()
 
     async def kill(self, place: Place) -> None:
-        """Kill a process: nothing that it had in mind still happens."""
+        """Kill a process and cancel everything that it still has to do."""
         if not place.up:
             return
         self.oracle.lost_process(place)
@@ -225,25 +231,25 @@
         await place.daemon.__aexit__(None, None, None)
 
     async def kill_here(self, place: Place) -> None:
-        """Kill a process from within one of its own steps."""
+        """Kill a process from within one of its own steps; never returns."""
         ending = asyncio.create_task(self.kill(place))
         self.oracle.background.add(ending)
         await asyncio.Event().wait()
 
     async def restart(self, place: Place) -> None:
-        """Kill a process if it runs, and start it."""
+        """Kill a process if it is running, then start it."""
         await self.kill(place)
         await self.start(place)
 
     def freeze(self, place: Place) -> None:
-        """Freeze a process; its timers then find themselves late."""
+        """Suspend a process; timers that expire meanwhile fire late."""
         place.frozen = True
         place.host.awake.clear()
         for link in place.links:
             link.held.clear()
 
     def wake(self, place: Place) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         place.frozen = False
         if place.up:
             place.host.awake.set()
@@ -251,7 +257,7 @@
                 link.held.set()
 
     def leader(self) -> Place | None:
-        """Return the place that leads, if one surely does."""
+        """Return the running leader that holds a leader lease, if any."""
         for place in self.places:
             if place.up and not place.frozen and place.daemon.node:
                 if place.daemon.node.holds_lease():
@@ -259,7 +265,7 @@
         return None
 
     async def heal(self) -> None:
-        """End all faults and wait until the system is whole again."""
+        """End all faults and wait until every daemon holds a lease."""
         self.armed.clear()
         self.network.heal()
         self.store.fault = None
@@ -275,7 +281,7 @@
             engine.load_hang_s = 0.0
         for place in self.places:
             if place.disk is not None:
-                # A disk may be about to fail that nobody wrote to yet.
+                # The fault may be set on a disk that was not written to yet.
                 place.disk.fail_syncs = False
                 place.disk.full = False
             node = place.daemon.node if place.daemon else None
@@ -287,13 +293,13 @@
         await self.settle(self.all_fresh, 60)
 
     def all_fresh(self) -> bool:
-        """Whether every daemon that runs holds a lease."""
+        """Whether every daemon is running and holds a lease."""
         return all(
             place.up and place.daemon.session.fresh() for place in self.places
         )
 
     def all_applied(self, index: int) -> bool:
-        """Whether a change is in force at every daemon."""
+        """Whether every daemon has applied the log up to an index."""
         return all(
             place.up and place.daemon.session.view.index >= index
             for place in self.places
@@ -302,21 +308,25 @@
     async def settle(
         self, check: collections.abc.Callable[[], bool], timeout_s: float
     ) -> None:
-        """Wait, in virtual time, until a check holds."""
+        """Wait in virtual time until a condition holds.
+
+        Raises:
+            AssertionError: it does not hold after timeout_s.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while not check():
             if loop.time() > deadline:
                 raise AssertionError(
-                    f"{getattr(check, '__name__', 'It')} does not hold "
-                    f"after {timeout_s} s. Fired: {self.fired}"
+                    f"{getattr(check, '__name__', 'condition')} does not hold "
+                    f"after {timeout_s} s; injected faults: {self.fired}"
                 )
             await asyncio.sleep(0.05)
 
-    # The outside.
+    # The instance list, targets and the clock.
 
     def publish(self) -> None:
-        """Set the instance list from what is leaving or missing."""
+        """Update the instance list with the leaving and missing targets."""
         listed = []
         for kind, pool, addresses in (
             ("runner", "sastre-llm", self.engine_by_address),
@@ -348,7 +358,7 @@
         return standins.MemoryService(service, place.link_to(address))
 
     def wall_s(self) -> float:
-        """Return the wall clock."""
+        """Return the wall-clock time in seconds since the epoch."""
         return WALL_START_S + asyncio.get_running_loop().time()
 
     # Operators and callers.
@@ -391,7 +401,11 @@
         operation_id: str | None = None,
         tries: int = 30,
     ) -> catalogue.PutReply | None:
-        """Change an entry as an operator who resends; None if it gave up."""
+        """Change an entry as an operator who resends on errors.
+
+        Args:
+            tries: the number of attempts before it returns None.
+        """
         self._operations += 1
         place = at or self.places[0]
         put = catalogue.Put(
@@ -425,7 +439,11 @@
     async def _in_process(
         self, place: Place, work: collections.abc.Coroutine
     ) -> object:
-        """Run work inside a process, so that it dies with it."""
+        """Run work inside a process, so that killing it cancels the work.
+
+        Raises:
+            wire.PeerLostError: the process was killed.
+        """
         task = asyncio.create_task(work)
         place.tasks.add(task)
         task.add_done_callback(place.tasks.discard)
@@ -447,10 +465,10 @@
         leave_after: int | None = None,
         reconnect: bool = True,
     ) -> oracle.Answer:
-        """Ask a model as a caller who reconnects once when cut off.
+        """Request a completion; reconnect once if the instance is lost.
 
         Args:
-            leave_after: go away after so many parts.
+            leave_after: disconnect after this number of parts.
         """
         self._requests += 1
         prompt = f"prompt {self._requests}"
@@ -518,7 +536,7 @@
         resends: int = 0,
         deadline_s: float = 8.0,
     ) -> oracle.Booking:
-        """Make a call that may not be repeated, and resend it if lost."""
+        """Make a non-idempotent service call, resending it after errors."""
         member = MEMBERS[number % 2]
         key = key or f"{int(self.wall_s())}-{number}"
         booking = oracle.Booking(member, key)
@@ -562,20 +580,21 @@
 
 
 class HungError(Exception):
-    """Work in virtual time that makes no progress."""
+    """Work in virtual time that exceeds its time limit."""
 
 
 def _too_long(*_: object) -> None:
     raise HungError(
-        f"It hangs after {LONGEST_WORK_S} s of work or {LONGEST_REAL_S} s."
+        f"not done after {LONGEST_WORK_S} s of processor time or "
+        f"{LONGEST_REAL_S} s of real time"
     )
 
 
 def run_virtual(work: collections.abc.Coroutine) -> object:
-    """Run work in virtual time on a loop of its own.
+    """Run a coroutine in virtual time on a new event loop.
 
     Raises:
-        HungError: it used far more real time than it can need.
+        HungError: it exceeded its limit of processor time or real time.
     """
     signal.signal(signal.SIGALRM, _too_long)
     signal.signal(signal.SIGPROF, _too_long)
