--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -1,4 +1,4 @@
-"""What must always hold, as a plain model that records and checks."""
+"""Records the events of a simulation and checks its invariants."""
 
 import asyncio
 import collections
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asked:
-    """What a caller asked of a model."""
+    """A completion that a caller requested."""
 
     model: str
     prompt: str
@@ -29,13 +29,13 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Answer:
-    """What a caller got.
+    """The answer that a caller received.
 
     Args:
-        whole: the last part had the end mark.
-        left: the caller went away by itself.
-        may_have_run: an earlier request of this caller's had another
-            outcome than "not run".
+        whole: the last part received carried the end mark.
+        left: the caller disconnected by itself.
+        may_have_run: the first attempt ended with a lost connection, so
+            its request may have run.
     """
 
     asked: Asked
@@ -49,13 +49,13 @@
 
     @property
     def text(self) -> str:
-        """The whole text that the caller holds."""
+        """The text that the caller has received."""
         return "".join(self.parts)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Booking:
-    """A call that may not be repeated, with all its resends."""
+    """A non-idempotent call with the outcomes of all its attempts."""
 
     member: str
     key: str
@@ -71,7 +71,7 @@
         result: routing.ServiceResult | None,
         error: wire.ServingError | None,
     ) -> None:
-        """Record the outcome of one try."""
+        """Record the outcome of one attempt."""
         self.errors.append(error)
         ran = "" if error is None else str(error.ran)
         self.outcomes.append((result, ran))
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """A change that an operator was told is accepted."""
+    """A change that was acknowledged to an operator."""
 
     at: float
     kind: str
@@ -89,7 +89,7 @@
 
 
 class Oracle:
-    """Records what was promised and collects what broke a promise."""
+    """Records answers and changes and collects violated guarantees."""
 
     def __init__(self, world: "world_lib.World") -> None:
         self.world = world
@@ -106,26 +106,28 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Start sampling."""
+        """Start checking periodically."""
         self._task = asyncio.create_task(self._sample())
 
     def stop(self) -> None:
-        """Stop sampling."""
+        """Stop checking periodically."""
         if self._task is not None:
             self._task.cancel()
 
     # Recording.
 
     def asked(self, answer: Answer) -> None:
-        """A caller asked a model."""
+        """Record the request of a caller."""
         self.answers.append(answer)
 
     def answered(self, answer: Answer) -> None:
-        """A caller's request ended; check its answer at once."""
+        """Check the answer of a request that has ended."""
         asked = answer.asked
         if answer.error is not None or answer.left:
             return
-        self._check(answer.whole, "exact", f"{asked}: cut answer as whole")
+        self._check(
+            answer.whole, "exact", f"{asked}: truncated answer without error"
+        )
         wanted = asked.model if "@" in asked.model else f"{asked.model}@v1"
         expected = standins.expected_text(wanted, asked.prompt, asked.tokens)
         self._check(
@@ -134,20 +136,20 @@
             f"{asked}: answered by {answer.adapter}",
         )
         self._check(
-            answer.text == expected, "own_answer", f"{asked}: other text"
+            answer.text == expected, "own_answer", f"{asked}: unexpected text"
         )
 
     def booked(self, booking: Booking) -> None:
-        """A caller made a call that may not be repeated."""
+        """Record a non-idempotent call."""
         self.bookings.append(booking)
 
     def acknowledged(
         self, put: catalogue.Put, reply: catalogue.PutReply
     ) -> None:
-        """An operator got the answer to a change."""
+        """Record and check the reply to a change."""
         known = self.operations.setdefault(put.operation_id, reply)
         self._check(
-            known == reply, "changes", f"{put.operation_id}: two outcomes"
+            known == reply, "changes", f"{put.operation_id}: replies differ"
         )
         if reply.conflict is not None or known is not reply:
             return
@@ -159,7 +161,7 @@
         )
 
     def lost_process(self, place: "world_lib.Place") -> None:
-        """A process was killed."""
+        """Do nothing: no check depends on a killed process."""
 
     # Checking.
 
@@ -175,7 +177,7 @@
             await asyncio.sleep(SAMPLE_S)
 
     def check_now(self) -> None:
-        """Check all that must hold at any moment."""
+        """Check the invariants that hold at any time."""
         fresh = [
             place
             for place in self.world.places
@@ -192,7 +194,9 @@
             view = place.daemon.session.view
             boot = place.daemon.session.boot
             before = self._index_by_boot.get(boot, 0)
-            self._check(view.index >= before, "changes", f"{boot}: index fell")
+            self._check(
+                view.index >= before, "changes", f"{boot}: index decreased"
+            )
             self._index_by_boot[boot] = view.index
             for change in self.changes:
                 if now - change.at > IN_FORCE_S:
@@ -222,7 +226,7 @@
         self._check(
             revision >= change.revision,
             "changes",
-            f"{what}: only at {revision}",
+            f"{what}: still at revision {revision}",
         )
 
     def _check_owners(self, fresh: list["world_lib.Place"]) -> None:
@@ -237,7 +241,7 @@
             )
 
     def _check_limits(self) -> None:
-        """Requests of a member inside all daemons never pass its limit."""
+        """Check that no member exceeds its limit across all daemons."""
         limit = self.world.settings.member_concurrency
         if limit is None:
             return
@@ -261,11 +265,15 @@
             self._check(
                 not engine.stale_orders_taken,
                 "ownership",
-                f"{address}: took an order with an old number",
+                f"{address}: executed an order with an old fencing token",
             )
 
     def check_at_end(self) -> list[str]:
-        """Check what can be told only when all is over."""
+        """Check all invariants, also those that need the final state.
+
+        Returns:
+            Violations, each prefixed with the name of its guarantee.
+        """
         self.check_now()
         prompts = set()
         for engine in self.world.engine_by_address.values():
@@ -278,7 +286,7 @@
                 self._check(
                     answer.asked.prompt not in prompts,
                     "not_run",
-                    f"{answer.asked}: ran, but {error.code} said not",
+                    f"{answer.asked}: ran, but {error.code} reports not run",
                 )
         self._check_bookings()
         self._check_leaving()
@@ -293,16 +301,26 @@
             outcomes[booking.key].extend(booking.outcomes)
         for key, seen in outcomes.items():
             count = count_by_key[key]
-            self._check(count <= 1, "at_most_once", f"{key}: ran {count} x")
+            self._check(
+                count <= 1, "at_most_once", f"{key}: ran {count} times"
+            )
             done = any(result is not None for result, _ in seen)
             if done:
-                self._check(count == 1, "at_most_once", f"{key}: lost")
+                self._check(
+                    count == 1,
+                    "at_most_once",
+                    f"{key}: answered, but ran {count} times",
+                )
             only_not_run = seen and all(ran == "not_run" for _, ran in seen)
             if only_not_run:
-                self._check(count == 0, "not_run", f"{key}: ran, but said not")
+                self._check(
+                    count == 0,
+                    "not_run",
+                    f"{key}: ran, but every outcome was not run",
+                )
             bodies = {r.body for r, _ in seen if r is not None}
             self._check(
-                len(bodies) <= 1, "at_most_once", f"{key}: two outcomes"
+                len(bodies) <= 1, "at_most_once", f"{key}: answers differ"
             )
 
     def _check_leaving(self) -> None:
