--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -1,8 +1,9 @@
 """Stateful fuzzing with hypothesis.
 
-The whole system runs in virtual time, so a history is a list of commands
-that is drawn first and then run against the oracle. The smaller parts are
-compared with plain models step by step.
+The whole system runs in virtual time: hypothesis draws a complete history
+of commands, which then runs and is checked by the oracle. The catalogue,
+the ledger and the storage are state machines that are compared with simple
+models after each step.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Command:
-    """One command of a history, and the pause after it."""
+    """One command of a history and the pause after it."""
 
     what: str
     place: int
@@ -60,7 +61,7 @@
 
 
 def commands() -> st.SearchStrategy[Command]:
-    """Return a strategy for one command."""
+    """Return a strategy that draws one command."""
     return st.builds(
         Command,
         st.sampled_from(CALLS + CALLS + FAULTS),
@@ -71,7 +72,7 @@
 
 
 class History:
-    """Runs commands on a world."""
+    """Runs the commands of a history on a simulated cluster."""
 
     def __init__(self, world: world_lib.World) -> None:
         self._world = world
@@ -79,7 +80,7 @@
         self._booked = 0
 
     async def run(self, history: list[Command]) -> list[str]:
-        """Run all, heal, and return what was broken."""
+        """Run all commands, end all faults and return the violations."""
         for command in history:
             await getattr(self, f"_{command.what}")(command)
             await asyncio.sleep(command.pause_s)
@@ -219,7 +220,7 @@
 
 
 class CatalogueAgainstModel(stateful.RuleBasedStateMachine):
-    """The state machine against a dict, with restarts from snapshots."""
+    """Compares the catalogue with dicts, with restarts from snapshots."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -249,7 +250,7 @@
         delete=st.booleans(),
     )
     def put(self, number, revision, operation, weight, delete) -> None:
-        """Set or delete a member, perhaps resent or stale."""
+        """Set or delete a member, possibly resent or at an old revision."""
         name = f"member-{number}"
         stands = self.model.get(name, (0, ""))[0]
         wanted = stands if revision == "current" else revision
@@ -284,7 +285,7 @@
 
     @stateful.rule(key=st.integers(0, 3), attempt=st.integers(0, 3))
     def claim(self, key, attempt) -> None:
-        """Claim a key by some attempt."""
+        """Claim an idempotency key for an attempt."""
         name = f"key-{key}"
         claim = catalogue.Claim("m", name, 10, "digest", f"attempt-{attempt}")
         reply = self._apply(catalogue.Command(claim=claim))
@@ -294,7 +295,7 @@
 
     @stateful.rule(number=st.integers(0, 2), stale=st.booleans())
     def grant(self, number, stale) -> None:
-        """Grant a target, perhaps after a lost race."""
+        """Grant a target, possibly with an outdated epoch."""
         name = f"target-{number}"
         epoch = self.epochs.get(name, 0)
         after = epoch - 1 if stale else epoch
@@ -314,7 +315,7 @@
 
     @stateful.invariant()
     def same_as_model(self) -> None:
-        """The view, and one rebuilt from effects, agree."""
+        """Compare the view, and one rebuilt from effects, with the model."""
         members = self.machine.view.member_by_id
         shown = {name: entry.revision for name, entry in members.items()}
         assert shown == {
@@ -329,7 +330,7 @@
 
 
 class LedgerAgainstLimit(stateful.RuleBasedStateMachine):
-    """Daemons with lost and late answers never hold more than a limit."""
+    """Checks that daemons never use more than a limit despite lost messages."""
 
     LIMIT = 5
     KEY = "concurrency/member/m"
@@ -347,7 +348,7 @@
         lost=st.sampled_from(("no", "request", "reply")),
     )
     def heartbeat(self, daemon, wanted, lost) -> None:
-        """Declare and be granted, with losses on the way."""
+        """Declare the share held and receive a grant; either may be lost."""
         boot = f"boot-{daemon}"
         if lost == "request":
             return
@@ -360,20 +361,20 @@
 
     @stateful.rule(daemon=st.integers(0, 4))
     def start_request(self, daemon) -> None:
-        """Use a unit if the share allows."""
+        """Use one unit if the share allows it."""
         boot = f"boot-{daemon}"
         if self.used[boot] < self.held[boot]:
             self.used[boot] += 1
 
     @stateful.rule(daemon=st.integers(0, 4))
     def end_request(self, daemon) -> None:
-        """Give a unit back."""
+        """Release one unit."""
         boot = f"boot-{daemon}"
         self.used[boot] = max(0, self.used[boot] - 1)
 
     @stateful.rule(daemon=st.integers(0, 4))
     def lease_ended(self, daemon) -> None:
-        """Lose the session of a daemon, whose runs go on."""
+        """End the lease of a daemon whose runs continue."""
         boot = f"boot-{daemon}"
         if boot in self.silent:
             return
@@ -383,7 +384,7 @@
 
     @stateful.rule(daemon=st.integers(0, 4))
     def runs_ended(self, daemon) -> None:
-        """End all that a silent daemon runs."""
+        """End all runs of a silent daemon."""
         boot = f"boot-{daemon}"
         if boot in self.silent:
             self.used[boot] = 0
@@ -391,12 +392,16 @@
 
     @stateful.invariant()
     def within_limit(self) -> None:
-        """No more units are in use than the limit."""
+        """Check that no more units are in use than the limit allows."""
         assert sum(self.used.values()) <= self.LIMIT
 
 
 class StorageAgainstList(stateful.RuleBasedStateMachine):
-    """What was synced is there after a crash, in order, and no more."""
+    """Compares the log storage with lists across crashes.
+
+    All synced entries must survive a crash in order. After them only a
+    prefix of the appended but unsynced entries may be found.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -409,7 +414,7 @@
         self._open()
 
     def teardown(self) -> None:
-        """Close the loop."""
+        """Close the event loop."""
         self.loop.close()
 
     def _do(self, work):
@@ -430,7 +435,7 @@
 
     @stateful.rule(count=st.integers(1, 4), size=st.integers(0, 200))
     def append(self, count, size) -> None:
-        """Append entries without a sync."""
+        """Append entries without syncing them."""
         first = self._next()
         entries = [
             quorum.Entry(first + i, 1, quorum.EntryKind.COMMAND, bytes(size))
@@ -441,21 +446,21 @@
 
     @stateful.rule()
     def sync(self) -> None:
-        """Sync what was appended."""
+        """Sync the appended entries."""
         self._do(self.storage.sync())
         self.synced += self.pending
         self.pending = []
 
     @stateful.rule()
     def crash(self) -> None:
-        """Crash, lose or tear what was not synced, and load."""
+        """Crash, which may lose or tear unsynced writes, and reload."""
         self.disk.crash()
         self.disk.start_again()
         self._open()
 
     @stateful.rule(keep=st.integers(0, 5))
     def truncate(self, keep) -> None:
-        """Cut the end of the log off."""
+        """Truncate the log after an entry."""
         self.sync()
         self.synced = self.synced[:keep]
         self._do(self.storage.truncate_after(self.snapshot + len(self.synced)))
@@ -471,11 +476,13 @@
 def run(
     machine: str, count: int, seed: int = FIXED_SEED, shrink: bool = True
 ) -> str | None:
-    """Try so many histories; return the shrunk failure, if any.
+    """Run random histories and return the first failure, if any.
 
     Args:
-        seed: histories are the same for the same seed.
-        shrink: whether to look for the shortest failing history.
+        machine: "system" or a key of MACHINES.
+        count: number of histories.
+        seed: the same seed draws the same histories.
+        shrink: whether to reduce a failing history to a minimal one.
     """
     phases = [hypothesis.Phase.generate]
     if shrink:
@@ -494,7 +501,7 @@
         if machine == "system":
             _fuzz_system(settings, seed)
         else:
-            # A class of its own, as the seed is set on the class.
+            # hypothesis.seed() sets the seed on the class: use a subclass.
             kind = type(machine, (MACHINES[machine],), {})
             if seed != FIXED_SEED:
                 kind = hypothesis.seed(seed)(kind)
