--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks of behave: quiet logs, and everything started is ended."""
+"""Hooks of behave: silence logs and clean up after each scenario."""
 
 import contextlib
 
@@ -6,15 +6,15 @@
 
 
 def before_all(context) -> None:
-    """Keep the product's log lines out of the report."""
+    """Suppress log lines of the code under test."""
     logging.set_verbosity(logging.FATAL)
 
 
 def before_scenario(context, scenario) -> None:
-    """Give each scenario a stack to put what must be ended."""
+    """Give each scenario an exit stack for its cleanups."""
     context.stack = contextlib.ExitStack()
 
 
 def after_scenario(context, scenario) -> None:
-    """End what the scenario started."""
+    """Run the cleanups of the scenario."""
     context.stack.close()
--- a/features/fuzz.py
+++ b/features/fuzz.py
@@ -1,4 +1,7 @@
-"""Fuzz with random seeds for as long as asked; prints how to replay."""
+"""Fuzzes with random seeds for a given time.
+
+Prints the command that replays a failure.
+"""
 
 import random
 import sys
@@ -10,9 +13,9 @@
 
 from features.support import fuzz
 
-_SECONDS = flags.DEFINE_float("seconds", 300.0, "Seconds to go on.")
-_COUNT = flags.DEFINE_integer("count", 20, "Histories for each seed.")
-_SEED = flags.DEFINE_integer("seed", None, "Replay this seed only.")
+_SECONDS = flags.DEFINE_float("seconds", 300.0, "How long to run, in seconds.")
+_COUNT = flags.DEFINE_integer("count", 20, "Number of histories per seed.")
+_SEED = flags.DEFINE_integer("seed", None, "Run only this seed.")
 
 
 def _main(_: list[str]) -> None:
@@ -32,7 +35,7 @@
                 sys.exit(1)
         if _SEED.value is not None:
             break
-    print(f"{tried} histories, none broke a promise.")
+    print(f"{tried} histories, no violations.")
 
 
 if __name__ == "__main__":
--- a/features/fuzzing.feature
+++ b/features/fuzzing.feature
@@ -1,6 +1,6 @@
 Feature: Stateful fuzzing against a simple oracle
-  Commands of callers and operators are mixed with faults. A failure is
-  shrunk; it is then kept as a named scenario.
+  Random histories mix commands of callers and operators with faults. A
+  failing history is reduced to a minimal one and kept as a named scenario.
 
   Scenario: Random histories of the whole system keep every promise
     When 12 random histories of the system are tried
--- a/features/matrix.py
+++ b/features/matrix.py
@@ -1,4 +1,4 @@
-"""Run the fault matrix and print a table; the last line is JSON."""
+"""Runs the fault matrix and prints a table; the last line is JSON."""
 
 import collections
 import json
@@ -11,10 +11,14 @@
 
 from features.support import matrix
 
-_FULL = flags.DEFINE_bool("full", False, "Every step at all three moments.")
-_EVERY = flags.DEFINE_integer("every", 1, "Only every so many cases.")
-_ONLY = flags.DEFINE_string("only", "", "Only cases whose name holds this.")
-_JOBS = flags.DEFINE_integer("jobs", 7, "Processes.")
+_FULL = flags.DEFINE_bool(
+    "full", False, "Run every step at all three moments."
+)
+_EVERY = flags.DEFINE_integer("every", 1, "Run only every n-th case.")
+_ONLY = flags.DEFINE_string(
+    "only", "", "Run only cases whose name contains this text."
+)
+_JOBS = flags.DEFINE_integer("jobs", 7, "Number of processes.")
 
 PROMISES = {
     "exact": 1,
--- a/features/mutants.py
+++ b/features/mutants.py
@@ -1,4 +1,7 @@
-"""Switch each guard off and see its scenario notice; last line is JSON."""
+"""Runs each mutant and checks that its scenario detects it.
+
+The last line of the output is JSON.
+"""
 
 import json
 import multiprocessing
@@ -10,14 +13,14 @@
 
 from features.support import scenarios
 
-_JOBS = flags.DEFINE_integer("jobs", 7, "Processes.")
+_JOBS = flags.DEFINE_integer("jobs", 7, "Number of processes.")
 
 
 def _main(_: list[str]) -> None:
     logging.set_verbosity(logging.FATAL)
     with multiprocessing.Pool(_JOBS.value) as pool:
         found = pool.map(scenarios.run_mutant, scenarios.MUTANTS, chunksize=1)
-    print(f"{'promise':8} {'guard switched off':22} {'scenario':28} result")
+    print(f"{'promise':8} {'guard disabled':22} {'scenario':28} result")
     for mutant, faults in zip(scenarios.MUTANTS, found):
         result = "caught" if faults else "NOT CAUGHT"
         print(
--- a/features/promises.feature
+++ b/features/promises.feature
@@ -1,6 +1,7 @@
 Feature: What must always hold
-  Each scenario is made to break a promise if its guard were off. The
-  second outline switches the guard off and sees the scenario notice.
+  Each scenario would violate a guarantee if the guard behind it were
+  missing. The second scenario disables each guard in turn and checks that
+  the scenario detects it.
 
   Scenario Outline: <scenario> breaks no promise
     When the scenario <scenario> runs
--- a/features/run.py
+++ b/features/run.py
@@ -1,7 +1,8 @@
-"""Run behave, and end with a line of its real counts.
+"""Runs behave and ends with a line of the numbers passed and failed.
 
-Tests listed in KNOWN-RED.txt, one a line as ``name | cause | issue``, may
-fail; they are printed. Anything else that fails makes the run fail.
+Tests listed in KNOWN-RED.txt, one per line as ``name | cause | issue``, may
+fail and are printed. The run fails if any other test fails, if the list has
+more than MOST_KNOWN entries, or if no scenario was found.
 """
 
 import pathlib
@@ -16,7 +17,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the lines of KNOWN-RED.txt by the name of the test."""
+    """Return the lines of KNOWN-RED.txt by test name."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -28,7 +29,11 @@
 
 
 def run_folder(arguments: list[str]) -> tuple[bool, list]:
-    """Run the features of one folder; return whether it broke, and all."""
+    """Run the features of one folder.
+
+    Returns:
+        Whether the run failed, and all its scenarios.
+    """
     from behave import configuration
     from behave import runner
 
@@ -44,7 +49,7 @@
 
 
 def print_longest(scenarios: list) -> None:
-    """Print which scenarios took longest, in seconds of real time."""
+    """Print the slowest scenarios with their real time in seconds."""
     by_time = sorted(scenarios, key=lambda s: s.duration, reverse=True)
     for scenario in by_time[:MOST_LONGEST]:
         print(f"took {scenario.duration:6.1f} s: {scenario.name.strip()}")
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -1,4 +1,4 @@
-"""Steps of the promises: scenarios, mutants, matrix and fuzzing."""
+"""Steps for the scenarios, mutants, fault matrix and fuzzing."""
 
 import multiprocessing
 from multiprocessing import pool as pool_lib
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -330,7 +330,7 @@
 
 
 class LedgerAgainstLimit(stateful.RuleBasedStateMachine):
-    """Checks that daemons never use more than a limit despite lost messages."""
+    """Checks that daemons stay within a limit despite lost messages."""
 
     LIMIT = 5
     KEY = "concurrency/member/m"
--- a/features/support/relay.py
+++ b/features/support/relay.py
@@ -1,10 +1,10 @@
-"""A small TCP relay that a test can cut without ending connections."""
+"""A TCP relay that can stall traffic without closing connections."""
 
 import asyncio
 
 
 class Relay:
-    """Passes bytes on to an address; an async context manager."""
+    """Forwards TCP connections to an address; an async context manager."""
 
     def __init__(self, target: str) -> None:
         self._host, _, port = target.rpartition(":")
@@ -30,11 +30,11 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut(self) -> None:
-        """Let nothing through, in silence."""
+        """Stop forwarding; connections stay open."""
         self._flowing.clear()
 
     def heal(self) -> None:
-        """Let everything through again."""
+        """Resume forwarding."""
         self._flowing.set()
 
     async def _connect(
