--- a/features/matrix.py
+++ b/features/matrix.py
@@ -54,7 +54,7 @@
 
 def _main(_: list[str]) -> None:
     logging.set_verbosity(logging.FATAL)
-    cases = matrix.all_cases() if _FULL.value else matrix.usual_cases()
+    cases = matrix.all_cases() if _FULL.value else matrix.rotated_cases()
     cases = [c for c in cases if _ONLY.value in c.name][:: _EVERY.value]
     with multiprocessing.Pool(_JOBS.value) as pool:
         results = []
--- a/features/run.py
+++ b/features/run.py
@@ -2,7 +2,7 @@
 
 Tests listed in KNOWN-RED.txt, one per line as ``name | cause | issue``, may
 fail and are printed. The run fails if any other test fails, if the list has
-more than MOST_KNOWN entries, or if no scenario was found.
+more than MAX_KNOWN_RED entries, or if no scenario was found.
 """
 
 import pathlib
@@ -11,8 +11,8 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN = 3
-MOST_LONGEST = 10
+MAX_KNOWN_RED = 3
+SLOWEST_COUNT = 10
 FOLDERS = [[str(ROOT / "features")], [str(ROOT / "platform" / "features")]]
 
 
@@ -48,10 +48,10 @@
     return broke, scenarios
 
 
-def print_longest(scenarios: list) -> None:
+def print_slowest(scenarios: list) -> None:
     """Print the slowest scenarios with their real time in seconds."""
     by_time = sorted(scenarios, key=lambda s: s.duration, reverse=True)
-    for scenario in by_time[:MOST_LONGEST]:
+    for scenario in by_time[:SLOWEST_COUNT]:
         print(f"took {scenario.duration:6.1f} s: {scenario.name.strip()}")
 
 
@@ -75,9 +75,9 @@
         for step in scenario.all_steps:
             if step.error_message:
                 print(f"    {step.name}\n    {step.error_message}")
-    print_longest(scenarios)
+    print_slowest(scenarios)
     print(f"{len(passed)} passed, {len(failed)} failed")
-    if len(known) > MOST_KNOWN or not scenarios:
+    if len(known) > MAX_KNOWN_RED or not scenarios:
         return 1
     if failed:
         return 1 if unknown else 0
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -46,7 +46,7 @@
 
 @behave.when("every {step:d}th case of the fault matrix runs")
 def run_matrix(context, step: int) -> None:
-    cases = matrix.usual_cases()[::step]
+    cases = matrix.rotated_cases()[::step]
     with _pool() as pool:
         context.results = pool.map(
             matrix.run_in_virtual_time, cases, chunksize=1
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -32,7 +32,7 @@
 class Command:
     """One command of a history and the pause after it."""
 
-    what: str
+    action: str
     place: int
     number: int
     pause_s: float
@@ -82,43 +82,45 @@
     async def run(self, history: list[Command]) -> list[str]:
         """Run all commands, end all faults and return the violations."""
         for command in history:
-            await getattr(self, f"_{command.what}")(command)
+            await getattr(self, f"_{command.action}")(command)
             await asyncio.sleep(command.pause_s)
         await self._world.heal()
         await asyncio.gather(*self._tasks)
-        await matrix.check_whole(self._world)
+        await matrix.check_recovery(self._world)
         return self._world.oracle.check_at_end()
 
     def _spawn(self, work) -> None:
         self._tasks.append(asyncio.create_task(work))
 
-    def _place(self, command: Command) -> world_lib.Place:
+    def _place(self, command: Command) -> world_lib.EntryInstance:
         return self._world.place(command.place)
 
-    def _usable(self, command: Command) -> world_lib.Place | None:
+    def _usable_instance(
+        self, command: Command
+    ) -> world_lib.EntryInstance | None:
         place = self._place(command)
         return place if place.up and not place.frozen else None
 
     async def _complete(self, command: Command) -> None:
-        place = self._usable(command)
+        place = self._usable_instance(command)
         if place is not None:
             self._spawn(self._world.complete(command.number, place, 8))
 
     async def _leave(self, command: Command) -> None:
-        place = self._usable(command)
+        place = self._usable_instance(command)
         if place is not None:
             self._spawn(
                 self._world.complete(command.number, place, 8, leave_after=2)
             )
 
     async def _book(self, command: Command) -> None:
-        place = self._usable(command)
+        place = self._usable_instance(command)
         self._booked += 1
         if place is not None:
             self._spawn(self._world.book(self._booked, place, resends=2))
 
     async def _put(self, command: Command) -> None:
-        place = self._usable(command)
+        place = self._usable_instance(command)
         owner = world_lib.MEMBERS[command.number % 2]
         value = world_lib.adapter_value(
             owner, ("v1", "v2", f"x{len(self._tasks)}")
@@ -158,7 +160,7 @@
         place = self._place(command)
         if place.disk is None:
             return
-        if matrix.others_voting(self._world, place):
+        if matrix.other_replicas_vote(self._world, place):
             await self._world.kill(place)
             place.disk.lose()
             await self._world.start(place)
@@ -202,7 +204,7 @@
         if place is not None:
             self._spawn(self._transfer_leader(place))
 
-    async def _transfer_leader(self, place: world_lib.Place) -> None:
+    async def _transfer_leader(self, place: world_lib.EntryInstance) -> None:
         moving = asyncio.create_task(place.daemon.node.transfer())
         await asyncio.wait([moving], timeout=3.0)
         moving.cancel()
--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -10,50 +10,50 @@
 from bergamotsail import wire
 from features.support import world as world_lib
 
-LOAD_FOR_S = 7.0
+LOAD_DURATION_S = 7.0
 SECOND_S = 1.0
 PAST_LEASE_S = 6.0
-LONG_S = 20.0
-DURING_S = 0.004
-LONGEST_VIRTUAL_S = 400
+LONG_PARTITION_S = 20.0
+DURING_DELAY_S = 0.004
+MAX_VIRTUAL_S = 400
 
 World = world_lib.World
-Place = world_lib.Place
+EntryInstance = world_lib.EntryInstance
 
 Fault = collections.abc.Callable[
-    [Place], collections.abc.Coroutine[None, None, None]
+    [EntryInstance], collections.abc.Coroutine[None, None, None]
 ]
 
 
 BEFORE = "before"
 DURING = "during"
 AFTER = "after"
-WHENS = (BEFORE, DURING, AFTER)
+MOMENTS = (BEFORE, DURING, AFTER)
 
 
-async def _later(world: World, delay_s: float, work) -> None:
+async def _run_later(world: World, delay_s: float, work) -> None:
     """Run work after a delay, in a background task."""
 
-    async def wait_and_do() -> None:
+    async def run_delayed() -> None:
         await asyncio.sleep(delay_s)
         await work()
 
-    world.oracle.background.add(asyncio.create_task(wait_and_do()))
+    world.oracle.background.add(asyncio.create_task(run_delayed()))
 
 
-def _replica(place: Place) -> Place:
+def _replica(place: EntryInstance) -> EntryInstance:
     """Return the place if it is a replica, else the first replica."""
     return place if place.disk is not None else place.world.place(0)
 
 
-async def kill(place: Place) -> None:
+async def kill(place: EntryInstance) -> None:
     """Kill the process and restart it after 2 s."""
     world = place.world
-    await _later(world, 2.0, lambda: world.restart(place))
+    await _run_later(world, 2.0, lambda: world.restart(place))
     await world.kill_here(place)
 
 
-async def freeze(place: Place) -> None:
+async def freeze(place: EntryInstance) -> None:
     """Freeze the process past the end of its lease, then resume it."""
     world = place.world
 
@@ -61,56 +61,60 @@
         world.wake(place)
 
     world.freeze(place)
-    await _later(world, PAST_LEASE_S, wake)
+    await _run_later(world, PAST_LEASE_S, wake)
     await place.host.awake.wait()
 
 
-async def lose_disk(place: Place) -> None:
+async def lose_disk(place: EntryInstance) -> None:
     """Kill a replica and restart it with a blank disk."""
     world = place.world
     place = _replica(place)
 
     async def lose() -> None:
-        await _wait_others_voting(world, place)
+        await _wait_other_replicas_vote(world, place)
         await world.kill(place)
         place.disk.lose()
         await asyncio.sleep(1.0)
         await world.start(place)
 
-    await _later(world, 0.0, lose)
+    await _run_later(world, 0.0, lose)
 
 
-async def _wait_others_voting(world: World, place: Place) -> None:
+async def _wait_other_replicas_vote(
+    world: World, place: EntryInstance
+) -> None:
     """Wait until all other replicas vote, for 20 s at the most.
 
     Losing two disks of three at once loses the log's majority.
     """
     for _ in range(200):
-        if others_voting(world, place):
+        if other_replicas_vote(world, place):
             return
         await asyncio.sleep(0.1)
 
 
-async def failed_sync(place: Place) -> None:
+async def failed_sync(place: EntryInstance) -> None:
     """Make every sync of a replica fail."""
     _replica(place).disk.fail_syncs = True
 
 
-async def full_disk(place: Place) -> None:
+async def full_disk(place: EntryInstance) -> None:
     """Make every write of a replica fail."""
     _replica(place).disk.full = True
 
 
-async def torn_write(place: Place) -> None:
+async def torn_write(place: EntryInstance) -> None:
     """Kill a replica in the middle of a write."""
     world = place.world
     place = _replica(place)
     place.disk.tear = True
-    await _later(world, 1.0, lambda: world.restart(place))
-    await _later(world, 0.0, lambda: world.kill(place))
+    await _run_later(world, 1.0, lambda: world.restart(place))
+    await _run_later(world, 0.0, lambda: world.kill(place))
 
 
-async def _cut(place: Place, for_s: float, outward: bool, inward: bool):
+async def _cut(
+    place: EntryInstance, for_s: float, outward: bool, inward: bool
+):
     world = place.world
     others = [p.address for p in world.places if p is not place]
     for other in others:
@@ -122,38 +126,38 @@
     async def heal() -> None:
         world.network.cuts.clear()
 
-    await _later(world, for_s, heal)
+    await _run_later(world, for_s, heal)
 
 
-async def cut_both_ways(place: Place) -> None:
+async def cut_both_ways(place: EntryInstance) -> None:
     """Cut the daemon off from all others."""
     await _cut(place, PAST_LEASE_S, True, True)
 
 
-async def cut_outward(place: Place) -> None:
+async def cut_outward(place: EntryInstance) -> None:
     """Drop all messages that the daemon sends to others."""
     await _cut(place, PAST_LEASE_S, True, False)
 
 
-async def cut_inward(place: Place) -> None:
+async def cut_inward(place: EntryInstance) -> None:
     """Drop all messages that others send to the daemon."""
     await _cut(place, PAST_LEASE_S, False, True)
 
 
-async def long_partition(place: Place) -> None:
+async def long_partition(place: EntryInstance) -> None:
     """Cut the daemon off for several times its lease."""
-    await _cut(place, LONG_S, True, True)
+    await _cut(place, LONG_PARTITION_S, True, True)
 
 
-async def crossed_messages(place: Place) -> None:
+async def crossed_messages(place: EntryInstance) -> None:
     """Delay, duplicate and reorder messages."""
     world = place.world
     world.network.duplicate = 0.3
     world.network.slow = 0.3
-    await _later(world, 5.0, world_heal_network(world))
+    await _run_later(world, 5.0, make_network_healer(world))
 
 
-def world_heal_network(world: World):
+def make_network_healer(world: World):
     """Return a coroutine function that ends all network faults."""
 
     async def heal() -> None:
@@ -162,7 +166,7 @@
     return heal
 
 
-async def lost_replies(place: Place) -> None:
+async def lost_replies(place: EntryInstance) -> None:
     """Drop the replies of all targets for 1.5 s."""
     world = place.world
     for links in world.links.values():
@@ -174,16 +178,16 @@
             for link in links:
                 link.lose_replies = False
 
-    await _later(world, 1.5, heal)
+    await _run_later(world, 1.5, heal)
 
 
-async def engines_restart(place: Place) -> None:
+async def engines_restart(place: EntryInstance) -> None:
     """Restart all engines without any resident adapter."""
     for engine in place.world.engine_by_address.values():
         engine.restart()
 
 
-async def loads_fail(place: Place) -> None:
+async def loads_fail(place: EntryInstance) -> None:
     """Make all loads fail for 2 s."""
     world = place.world
     for engine in world.engine_by_address.values():
@@ -193,10 +197,10 @@
         for engine in world.engine_by_address.values():
             engine.load_fault = None
 
-    await _later(world, 2.0, heal)
+    await _run_later(world, 2.0, heal)
 
 
-async def loads_hang(place: Place) -> None:
+async def loads_hang(place: EntryInstance) -> None:
     """Make loads that start within 2 s hang for 3 s."""
     world = place.world
     for engine in world.engine_by_address.values():
@@ -206,10 +210,10 @@
         for engine in world.engine_by_address.values():
             engine.load_hang_s = 0.0
 
-    await _later(world, 2.0, heal)
+    await _run_later(world, 2.0, heal)
 
 
-async def target_leaves(place: Place) -> None:
+async def target_leaves(place: EntryInstance) -> None:
     """Mark an engine as leaving in the instance list."""
     world = place.world
     world.leaving.add("runner-0")
@@ -218,7 +222,7 @@
     world.oracle.left_at["runner-0"] = now
 
 
-async def list_empty(place: Place) -> None:
+async def list_empty(place: EntryInstance) -> None:
     """Serve an empty instance list for 5 s."""
     world = place.world
     world.missing = {"runner-0", "runner-1", "app-0", "app-1"}
@@ -228,15 +232,15 @@
         world.missing = set()
         world.publish()
 
-    await _later(world, 5.0, heal)
+    await _run_later(world, 5.0, heal)
 
 
-async def list_cut(place: Place) -> None:
+async def list_cut(place: EntryInstance) -> None:
     """Make the instance list unreachable."""
     place.world.list_link.cut = True
 
 
-async def operators_race(place: Place) -> None:
+async def operators_race(place: EntryInstance) -> None:
     """Write one entry concurrently from all daemons at one revision."""
     world = place.world
 
@@ -257,10 +261,10 @@
                 f"changes: {len(won)} writes at one revision succeeded"
             )
 
-    await _later(world, 0.0, race)
+    await _run_later(world, 0.0, race)
 
 
-async def second_loss_in_repair(place: Place) -> None:
+async def second_loss_in_repair(place: EntryInstance) -> None:
     """Stop a second replica while the first recovers from a lost disk."""
     world = place.world
     replicas = [p for p in world.places if p.disk is not None]
@@ -268,7 +272,7 @@
     second = replicas[(replicas.index(first) + 1) % len(replicas)]
 
     async def lose() -> None:
-        await _wait_others_voting(world, first)
+        await _wait_other_replicas_vote(world, first)
         await world.kill(first)
         first.disk.lose()
         await asyncio.sleep(0.5)
@@ -278,13 +282,13 @@
         await asyncio.sleep(2.4)
         await world.restart(second)
 
-    await _later(world, 0.0, lose)
+    await _run_later(world, 0.0, lose)
 
 
-async def planned_stop(place: Place) -> None:
+async def planned_stop(place: EntryInstance) -> None:
     """Stop the daemon gracefully, then restart it."""
     world = place.world
-    await _later(world, 0.0, lambda: stop_and_start(place))
+    await _run_later(world, 0.0, lambda: stop_and_start(place))
 
 
 FAULTS: tuple[Fault, ...] = (
@@ -350,37 +354,37 @@
         Case(name, str(step), when)
         for name in FAULT_BY_NAME
         for step in wire.Step
-        for when in WHENS
+        for when in MOMENTS
     ]
 
 
-def usual_cases() -> list[Case]:
+def rotated_cases() -> list[Case]:
     """Return a case for every fault and step, rotating the moments."""
     return [
-        Case(name, str(step), WHENS[(row + column) % len(WHENS)])
+        Case(name, str(step), MOMENTS[(row + column) % len(MOMENTS)])
         for row, name in enumerate(FAULT_BY_NAME)
         for column, step in enumerate(wire.Step)
     ]
 
 
-def arm(world: World, case: Case) -> None:
+def schedule_fault(world: World, case: Case) -> None:
     """Schedule the fault for the next time that its step is reached."""
     fault = FAULT_BY_NAME[case.fault]
     step = wire.Step(case.step)
 
-    async def during(place: Place) -> None:
-        await _later(world, DURING_S, lambda: fault(place))
+    async def during(place: EntryInstance) -> None:
+        await _run_later(world, DURING_DELAY_S, lambda: fault(place))
 
     if case.when == DURING:
-        world.armed[(step, wire.Phase.BEFORE)] = during
+        world.action_by_step[(step, wire.Phase.BEFORE)] = during
         return
-    world.armed[(step, wire.Phase(case.when))] = fault
-    if case.when == AFTER and step in ONLY_BEFORE:
+    world.action_by_step[(step, wire.Phase(case.when))] = fault
+    if case.when == AFTER and step in STEPS_WITHOUT_AFTER:
         # These steps report no AFTER phase: a short delay replaces it.
-        world.armed[(step, wire.Phase.BEFORE)] = during
+        world.action_by_step[(step, wire.Phase.BEFORE)] = during
 
 
-ONLY_BEFORE = frozenset(
+STEPS_WITHOUT_AFTER = frozenset(
     {
         wire.Step.APPEND,
         wire.Step.APPLY,
@@ -392,8 +396,8 @@
 )
 
 
-async def _load(world: World) -> None:
-    """Run calls, edits and scheduled events for LOAD_FOR_S seconds."""
+async def _run_load(world: World) -> None:
+    """Run calls, edits and scheduled events for LOAD_DURATION_S seconds."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     tasks: set[asyncio.Task] = set()
@@ -401,9 +405,9 @@
     def spawn(work) -> None:
         tasks.add(asyncio.create_task(work))
 
-    spawn(_events(world))
+    spawn(_cause_rare_steps(world))
     number = 0
-    while loop.time() - started < LOAD_FOR_S:
+    while loop.time() - started < LOAD_DURATION_S:
         number += 1
         up = [p for p in world.places if p.up and not p.frozen]
         if up:
@@ -419,14 +423,14 @@
     await asyncio.gather(*tasks)
 
 
-async def _edit(world: World, number: int, at: Place) -> None:
+async def _edit(world: World, number: int, at: EntryInstance) -> None:
     adapter = number % world.settings.adapters
     owner = world_lib.MEMBERS[adapter % 2]
     value = world_lib.adapter_value(owner, ("v1", "v2", f"w{number}"))
     await world.put("adapter", f"adapter-{adapter}", value, at)
 
 
-async def _events(world: World) -> None:
+async def _cause_rare_steps(world: World) -> None:
     """Cause the rare steps: an election, a blank disk and a stop."""
     await asyncio.sleep(1.0)
     leader = world.leader()
@@ -435,7 +439,7 @@
             await leader.daemon.node.transfer()
     await asyncio.sleep(1.0)
     blank = world.place(2)
-    if blank.up and not blank.frozen and others_voting(world, blank):
+    if blank.up and not blank.frozen and other_replicas_vote(world, blank):
         await world.kill(blank)
         blank.disk.lose()
         await world.start(blank)
@@ -449,7 +453,7 @@
         await stop_and_start(owners[-1])
 
 
-def others_voting(world: World, blank: Place) -> bool:
+def other_replicas_vote(world: World, blank: EntryInstance) -> bool:
     """Whether all other replicas vote, so that this disk may be lost."""
     return all(
         place.up
@@ -462,7 +466,7 @@
     )
 
 
-async def stop_and_start(place: Place) -> None:
+async def stop_and_start(place: EntryInstance) -> None:
     """Stop a daemon gracefully and restart it.
 
     No request in progress may be aborted by the stop.
@@ -479,7 +483,7 @@
         await world.restart(place)
 
 
-async def check_whole(world: World) -> None:
+async def check_recovery(world: World) -> None:
     """End all faults, then check that a change and requests succeed."""
     await world.heal()
     await asyncio.sleep(2.0)
@@ -505,13 +509,13 @@
     started = time.perf_counter()
     settings = world_lib.WorldSettings(seed=seed, checks_fencing=seed % 2 == 0)
     async with (
-        asyncio.timeout(LONGEST_VIRTUAL_S),
+        asyncio.timeout(MAX_VIRTUAL_S),
         World(settings) as world,
     ):
-        arm(world, case)
-        await _load(world)
+        schedule_fault(world, case)
+        await _run_load(world)
         fired = bool(world.fired)
-        await check_whole(world)
+        await check_recovery(world)
         faults = world.oracle.check_at_end()
     seconds = time.perf_counter() - started
     return CaseResult(case, fired, tuple(faults), seconds)
--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -13,13 +13,13 @@
 if typing.TYPE_CHECKING:
     from features.support import world as world_lib
 
-SAMPLE_S = 0.2
-IN_FORCE_S = 8.0
-LEAVING_S = 5.0
+CHECK_INTERVAL_S = 0.2
+MAX_PROPAGATION_S = 8.0
+MAX_LEAVING_NOTICE_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class RequestedCompletion:
     """A completion that a caller requested."""
 
     model: str
@@ -38,7 +38,7 @@
             its request may have run.
     """
 
-    asked: Asked
+    asked: RequestedCompletion
     parts: list[str] = dataclasses.field(default_factory=list)
     adapter: str = ""
     whole: bool = False
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Acknowledged:
+class AcknowledgedChange:
     """A change that was acknowledged to an operator."""
 
     at: float
@@ -96,7 +96,7 @@
         self.faults: list[str] = []
         self.answers: list[Answer] = []
         self.bookings: list[Booking] = []
-        self.changes: list[Acknowledged] = []
+        self.changes: list[AcknowledgedChange] = []
         self.background: set[asyncio.Task] = set()
         self.operations: dict[str, catalogue.PutReply] = {}
         self.left_at: dict[str, float] = {}
@@ -107,7 +107,7 @@
 
     def start(self) -> None:
         """Start checking periodically."""
-        self._task = asyncio.create_task(self._sample())
+        self._task = asyncio.create_task(self._check_periodically())
 
     def stop(self) -> None:
         """Stop checking periodically."""
@@ -116,11 +116,11 @@
 
     # Recording.
 
-    def asked(self, answer: Answer) -> None:
+    def record_request(self, answer: Answer) -> None:
         """Record the request of a caller."""
         self.answers.append(answer)
 
-    def answered(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Check the answer of a request that has ended."""
         asked = answer.asked
         if answer.error is not None or answer.left:
@@ -139,11 +139,11 @@
             answer.text == expected, "own_answer", f"{asked}: unexpected text"
         )
 
-    def booked(self, booking: Booking) -> None:
+    def record_booking(self, booking: Booking) -> None:
         """Record a non-idempotent call."""
         self.bookings.append(booking)
 
-    def acknowledged(
+    def record_change(
         self, put: catalogue.Put, reply: catalogue.PutReply
     ) -> None:
         """Record and check the reply to a change."""
@@ -157,10 +157,10 @@
         deleted = put.value is None
         revision = reply.revision
         self.changes.append(
-            Acknowledged(now, str(put.kind), put.id, revision, deleted)
+            AcknowledgedChange(now, str(put.kind), put.id, revision, deleted)
         )
 
-    def lost_process(self, place: "world_lib.Place") -> None:
+    def record_kill(self, place: "world_lib.EntryInstance") -> None:
         """Do nothing: no check depends on a killed process."""
 
     # Checking.
@@ -171,10 +171,10 @@
             if fault not in self.faults:
                 self.faults.append(fault)
 
-    async def _sample(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
             self.check_now()
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def check_now(self) -> None:
         """Check the invariants that hold at any time."""
@@ -188,7 +188,7 @@
         self._check_limits()
         self._check_evictions()
 
-    def _check_changes(self, fresh: list["world_lib.Place"]) -> None:
+    def _check_changes(self, fresh: list["world_lib.EntryInstance"]) -> None:
         now = asyncio.get_running_loop().time()
         for place in fresh:
             view = place.daemon.session.view
@@ -199,11 +199,11 @@
             )
             self._index_by_boot[boot] = view.index
             for change in self.changes:
-                if now - change.at > IN_FORCE_S:
-                    self._check_in_force(place.name, view, change)
+                if now - change.at > MAX_PROPAGATION_S:
+                    self._check_applied(place.name, view, change)
 
-    def _check_in_force(
-        self, name: str, view: catalogue.View, change: Acknowledged
+    def _check_applied(
+        self, name: str, view: catalogue.View, change: AcknowledgedChange
     ) -> None:
         what = f"{change.kind} {change.id} at {change.revision}, {name}"
         if change.deleted:
@@ -229,7 +229,7 @@
             f"{what}: still at revision {revision}",
         )
 
-    def _check_owners(self, fresh: list["world_lib.Place"]) -> None:
+    def _check_owners(self, fresh: list["world_lib.EntryInstance"]) -> None:
         owners: dict[str, list[str]] = collections.defaultdict(list)
         for place in fresh:
             for target, owner in place.daemon.owners.by_target.items():
@@ -330,7 +330,11 @@
                 continue
             address = addresses[int(name.partition("-")[2])]
             engine = self.world.engine_by_address[address]
-            late = [at for at in engine.run_times if at > left_at + LEAVING_S]
+            late = [
+                at
+                for at in engine.run_times
+                if at > left_at + MAX_LEAVING_NOTICE_S
+            ]
             self._check(
                 not late, "leaving", f"{name}: {len(late)} runs after leaving"
             )
--- a/features/support/relay.py
+++ b/features/support/relay.py
@@ -9,8 +9,8 @@
     def __init__(self, target: str) -> None:
         self._host, _, port = target.rpartition(":")
         self._port = int(port)
-        self._flowing = asyncio.Event()
-        self._flowing.set()
+        self._forwarding = asyncio.Event()
+        self._forwarding.set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task] = set()
         self.address = ""
@@ -31,11 +31,11 @@
 
     def cut(self) -> None:
         """Stop forwarding; connections stay open."""
-        self._flowing.clear()
+        self._forwarding.clear()
 
     def heal(self) -> None:
         """Resume forwarding."""
-        self._flowing.set()
+        self._forwarding.set()
 
     async def _connect(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -43,18 +43,21 @@
         task = asyncio.current_task()
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        await self._flowing.wait()
-        there, back = await asyncio.open_connection(self._host, self._port)
+        await self._forwarding.wait()
+        target_reader, target_writer = await asyncio.open_connection(
+            self._host, self._port
+        )
         await asyncio.gather(
-            self._pass_on(reader, back), self._pass_on(there, writer)
+            self._forward(reader, target_writer),
+            self._forward(target_reader, writer),
         )
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
             while data := await reader.read(65536):
-                await self._flowing.wait()
+                await self._forwarding.wait()
                 writer.write(data)
                 await writer.drain()
         except OSError:
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -45,7 +45,7 @@
     return await asyncio.gather(*tasks)
 
 
-def _refusals(promise: str, answers: list) -> list[str]:
+def _error_violations(promise: str, answers: list) -> list[str]:
     """Return a violation for each answer that ended with an error."""
     return [
         f"{promise}: {answer.error!r}"
@@ -260,10 +260,10 @@
         answers = await asyncio.gather(*tasks)
         await asyncio.gather(*stops)
         faults = world.oracle.check_at_end()
-        return faults + _refusals("planned_stop", answers)
+        return faults + _error_violations("planned_stop", answers)
 
 
-async def _stop(world: World, place: world_lib.Place) -> None:
+async def _stop(world: World, place: world_lib.EntryInstance) -> None:
     await place.daemon.stop()
     await world.kill(place)
 
@@ -402,7 +402,7 @@
                 owners.hand_over(list(owners.by_target))
         answers = await sending
         faults = world.oracle.check_at_end()
-        return faults + _refusals("moving", answers)
+        return faults + _error_violations("moving", answers)
 
 
 async def moving_leader(seed: int = 1) -> list[str]:
@@ -417,7 +417,7 @@
                 await leader.daemon.node.transfer()
         answers = await sending
         faults = world.oracle.check_at_end()
-        return faults + _refusals("moving", answers)
+        return faults + _error_violations("moving", answers)
 
 
 async def leave_at_dispatch(seed: int = 1) -> list[str]:
@@ -576,7 +576,7 @@
     lease = {"lease_s": 1.5, "heartbeat_s": 0.2, "order_flight_s": 0.2}
     settings = Settings(seed=seed, daemon={"lease": lease})
     world = World(settings)
-    watching = asyncio.create_task(_lapses(world, 5.0))
+    watching = asyncio.create_task(_lost_leases(world, 5.0))
     async with world:
         lapsed = await watching
         faults = [
@@ -585,7 +585,7 @@
         return faults + world.oracle.check_at_end()
 
 
-async def _lapses(world: World, watched_s: float) -> set[str]:
+async def _lost_leases(world: World, watched_s: float) -> set[str]:
     """Return the names of the daemons that held a lease and lost it."""
     loop = asyncio.get_running_loop()
     held: set[str] = set()
@@ -716,12 +716,12 @@
 # Mutants: each disables one guard.
 
 
-def _any_stamp(self, stream, chunk) -> bool:
+def _accept_any_chunk(self, stream, chunk) -> bool:
     stream.last_number = chunk.number
     return True
 
 
-def _any_part(self, attempt, request, chunk):
+def _pass_any_chunk(self, attempt, request, chunk):
     attempt.point = routing.ResumePoint(
         request.target,
         chunk.incarnation,
@@ -736,8 +736,8 @@
 def no_stamp_check() -> collections.abc.Iterator[None]:
     """Accept any chunk, whatever run, adapter or position it belongs to."""
     with (
-        patch(placement.EngineOwner, "_accept", _any_stamp),
-        patch(routing.Entry, "_part", _any_part),
+        patch(placement.EngineOwner, "_accept", _accept_any_chunk),
+        patch(routing.Entry, "_part", _pass_any_chunk),
     ):
         yield
 
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -27,15 +27,17 @@
 
 WALL_START_S = 1_800_000_000.0
 # Limits processor time: real time also depends on other processes.
-LONGEST_WORK_S = 45
+MAX_PROCESSOR_S = 45
 # Limits real time: a coroutine that waits for ever uses no processor time.
-LONGEST_REAL_S = 900
+MAX_REAL_S = 900
 OPERATOR = "ops"
-CENTRES = ("mnl-a", "mnl-b", "mnl-c")
+DATACENTRES = ("mnl-a", "mnl-b", "mnl-c")
 PEER_TOKEN = "peer-token-0123456789"
 MEMBERS = ("tahi", "lakeshore")
 
-Action = collections.abc.Callable[["Place"], collections.abc.Awaitable[None]]
+Action = collections.abc.Callable[
+    ["EntryInstance"], collections.abc.Awaitable[None]
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,19 +67,19 @@
 class FaultSteps(wire.Steps):
     """Runs a scheduled action when its step is first reached."""
 
-    def __init__(self, place: "Place") -> None:
+    def __init__(self, place: "EntryInstance") -> None:
         self._place = place
 
     async def reach(self, step: wire.Step, phase: wire.Phase) -> None:
         world = self._place.world
         world.reached[(step, phase)] += 1
-        action = world.armed.pop((step, phase), None)
+        action = world.action_by_step.pop((step, phase), None)
         if action is not None:
             world.fired.append((step, phase, self._place.name))
             await action(self._place)
 
 
-class Place:
+class EntryInstance:
     """An entry instance: its address, its disk and its daemon process."""
 
     def __init__(self, world: "World", number: int) -> None:
@@ -123,7 +125,7 @@
         self.rng = random.Random(settings.seed)
         self.network = standins.MemoryNetwork(self.rng)
         self.oracle = oracle.Oracle(self)
-        self.armed: dict[tuple[wire.Step, wire.Phase], Action] = {}
+        self.action_by_step: dict[tuple[wire.Step, wire.Phase], Action] = {}
         self.fired: list[tuple[wire.Step, wire.Phase, str]] = []
         self.reached: collections.Counter = collections.Counter()
         self.links: dict[tuple[str, str], list[standins.Link]] = (
@@ -136,7 +138,7 @@
         self.list_link = standins.Link()
         self.leaving: set[str] = set()
         self.missing: set[str] = set()
-        self.places = [Place(self, n) for n in range(settings.daemons)]
+        self.places = [EntryInstance(self, n) for n in range(settings.daemons)]
         self.place_by_name = {place.name: place for place in self.places}
         self._stack = contextlib.AsyncExitStack()
         self._operations = 0
@@ -172,17 +174,19 @@
 
     # Starting and stopping.
 
-    def place(self, number: int) -> Place:
+    def place(self, number: int) -> EntryInstance:
         """Return an entry instance by number."""
         return self.places[number]
 
-    def daemon_settings(self, place: Place) -> settings_lib.DaemonSettings:
+    def daemon_settings(
+        self, place: EntryInstance
+    ) -> settings_lib.DaemonSettings:
         """Return the settings of an instance's daemon."""
         replicas = [p.address for p in self.places if p.disk is not None]
         values = {
             "name": place.name,
             "address": place.address,
-            "datacentre": CENTRES[place.number % 3],
+            "datacentre": DATACENTRES[place.number % 3],
             "replicas": replicas,
             "instance_list": "http://list",
             "peer_token": PEER_TOKEN,
@@ -195,7 +199,7 @@
         values |= self.settings.daemon
         return settings_lib.parse(json.dumps(values))
 
-    async def start(self, place: Place) -> None:
+    async def start(self, place: EntryInstance) -> None:
         """Start the process of an instance."""
         if place.disk is not None:
             place.disk.start_again()
@@ -216,11 +220,11 @@
         place.daemon = daemon
         await daemon.__aenter__()
 
-    async def kill(self, place: Place) -> None:
+    async def kill(self, place: EntryInstance) -> None:
         """Kill a process and cancel everything that it still has to do."""
         if not place.up:
             return
-        self.oracle.lost_process(place)
+        self.oracle.record_kill(place)
         self.network.kill(place.address)
         for link in place.links:
             link.held.clear()
@@ -230,25 +234,25 @@
             task.cancel()
         await place.daemon.__aexit__(None, None, None)
 
-    async def kill_here(self, place: Place) -> None:
+    async def kill_here(self, place: EntryInstance) -> None:
         """Kill a process from within one of its own steps; never returns."""
         ending = asyncio.create_task(self.kill(place))
         self.oracle.background.add(ending)
         await asyncio.Event().wait()
 
-    async def restart(self, place: Place) -> None:
+    async def restart(self, place: EntryInstance) -> None:
         """Kill a process if it is running, then start it."""
         await self.kill(place)
         await self.start(place)
 
-    def freeze(self, place: Place) -> None:
+    def freeze(self, place: EntryInstance) -> None:
         """Suspend a process; timers that expire meanwhile fire late."""
         place.frozen = True
         place.host.awake.clear()
         for link in place.links:
             link.held.clear()
 
-    def wake(self, place: Place) -> None:
+    def wake(self, place: EntryInstance) -> None:
         """Resume a frozen process."""
         place.frozen = False
         if place.up:
@@ -256,7 +260,7 @@
             for link in place.links:
                 link.held.set()
 
-    def leader(self) -> Place | None:
+    def leader(self) -> EntryInstance | None:
         """Return the running leader that holds a leader lease, if any."""
         for place in self.places:
             if place.up and not place.frozen and place.daemon.node:
@@ -266,7 +270,7 @@
 
     async def heal(self) -> None:
         """End all faults and wait until every daemon holds a lease."""
-        self.armed.clear()
+        self.action_by_step.clear()
         self.network.heal()
         self.store.fault = None
         self.instances.fault = None
@@ -340,7 +344,7 @@
                 if name not in self.missing:
                     listed.append(
                         targets.Instance(
-                            name, pool, address, CENTRES[number % 3], state
+                            name, pool, address, DATACENTRES[number % 3], state
                         )
                     )
         self.instances.set(tuple(listed))
@@ -349,11 +353,15 @@
         """Return an engine by number."""
         return list(self.engine_by_address.values())[number]
 
-    def _engine_for(self, place: Place, address: str) -> targets.Engine:
+    def _engine_for(
+        self, place: EntryInstance, address: str
+    ) -> targets.Engine:
         engine = self.engine_by_address[address]
         return standins.MemoryEngine(engine, place.link_to(address))
 
-    def _service_for(self, place: Place, address: str) -> targets.Service:
+    def _service_for(
+        self, place: EntryInstance, address: str
+    ) -> targets.Service:
         service = self.service_by_address[address]
         return standins.MemoryService(service, place.link_to(address))
 
@@ -396,7 +404,7 @@
         kind: str,
         entry_id: str,
         value: dict | None,
-        at: Place | None = None,
+        at: EntryInstance | None = None,
         if_revision: int | None = None,
         operation_id: str | None = None,
         tries: int = 30,
@@ -428,16 +436,16 @@
                 await asyncio.sleep(0.2)
                 place = self._any_up() or place
                 continue
-            self.oracle.acknowledged(put, reply)
+            self.oracle.record_change(put, reply)
             return reply
         return None
 
-    def _any_up(self) -> Place | None:
+    def _any_up(self) -> EntryInstance | None:
         up = [p for p in self.places if p.up and not p.frozen]
         return self.rng.choice(up) if up else None
 
     async def _in_process(
-        self, place: Place, work: collections.abc.Coroutine
+        self, place: EntryInstance, work: collections.abc.Coroutine
     ) -> object:
         """Run work inside a process, so that killing it cancels the work.
 
@@ -458,7 +466,7 @@
     async def complete(
         self,
         adapter: int,
-        at: Place,
+        at: EntryInstance,
         tokens: int = 5,
         deadline_s: float = 20.0,
         version: str | None = None,
@@ -475,10 +483,10 @@
         model = f"adapter-{adapter}"
         if version is not None:
             model = f"{model}@{version}"
-        asked = oracle.Asked(model, prompt, tokens)
+        asked = oracle.RequestedCompletion(model, prompt, tokens)
         answer = oracle.Answer(asked)
         member = MEMBERS[adapter % 2]
-        self.oracle.asked(answer)
+        self.oracle.record_request(answer)
         resume: routing.ResumePoint | None = None
         for attempt in range(2):
             request = routing.Completion(
@@ -503,12 +511,12 @@
                 at = self._any_up() or at
                 if resume is None:
                     answer.parts.clear()
-        self.oracle.answered(answer)
+        self.oracle.record_answer(answer)
         return answer
 
     async def _read(
         self,
-        place: Place,
+        place: EntryInstance,
         member: str,
         request: routing.Completion,
         answer: oracle.Answer,
@@ -531,7 +539,7 @@
     async def book(
         self,
         number: int,
-        at: Place,
+        at: EntryInstance,
         key: str | None = None,
         resends: int = 0,
         deadline_s: float = 8.0,
@@ -540,7 +548,7 @@
         member = MEMBERS[number % 2]
         key = key or f"{int(self.wall_s())}-{number}"
         booking = oracle.Booking(member, key)
-        self.oracle.booked(booking)
+        self.oracle.record_booking(booking)
         for _ in range(resends + 1):
             call = routing.ServiceCall(
                 f"booking-{number}",
@@ -579,14 +587,14 @@
     }
 
 
-class HungError(Exception):
+class TimeLimitError(Exception):
     """Work in virtual time that exceeds its time limit."""
 
 
-def _too_long(*_: object) -> None:
-    raise HungError(
-        f"not done after {LONGEST_WORK_S} s of processor time or "
-        f"{LONGEST_REAL_S} s of real time"
+def _raise_time_limit(*_: object) -> None:
+    raise TimeLimitError(
+        f"not done after {MAX_PROCESSOR_S} s of processor time or "
+        f"{MAX_REAL_S} s of real time"
     )
 
 
@@ -594,12 +602,12 @@
     """Run a coroutine in virtual time on a new event loop.
 
     Raises:
-        HungError: it exceeded its limit of processor time or real time.
+        TimeLimitError: it exceeded its limit of processor time or real time.
     """
-    signal.signal(signal.SIGALRM, _too_long)
-    signal.signal(signal.SIGPROF, _too_long)
-    signal.alarm(LONGEST_REAL_S)
-    signal.setitimer(signal.ITIMER_PROF, LONGEST_WORK_S)
+    signal.signal(signal.SIGALRM, _raise_time_limit)
+    signal.signal(signal.SIGPROF, _raise_time_limit)
+    signal.alarm(MAX_REAL_S)
+    signal.setitimer(signal.ITIMER_PROF, MAX_PROCESSOR_S)
     loop = looptime.new_event_loop()
     asyncio.set_event_loop(loop)
     try:
