--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -265,7 +265,7 @@
 
 
 async def second_loss_in_repair(place: EntryInstance) -> None:
-    """Stop a second replica while the first recovers from a lost disk."""
+    """Kill a second replica while the first recovers from a lost disk."""
     world = place.world
     replicas = [p for p in world.places if p.disk is not None]
     first = _replica(place)
