--- a/features/matrix.py
+++ b/features/matrix.py
@@ -1,4 +1,4 @@
-"""Run the fault matrix and print a table; the last line is JSON."""
+"""Runs the fault matrix and prints a table; the last line is JSON."""
 
 import collections
 import json
@@ -11,10 +11,14 @@
 
 from features.support import matrix
 
-_FULL = flags.DEFINE_bool("full", False, "Every step at all three moments.")
-_EVERY = flags.DEFINE_integer("every", 1, "Only every so many cases.")
-_ONLY = flags.DEFINE_string("only", "", "Only cases whose name holds this.")
-_JOBS = flags.DEFINE_integer("jobs", 7, "Processes.")
+_FULL = flags.DEFINE_bool(
+    "full", False, "Run every step at all three moments."
+)
+_EVERY = flags.DEFINE_integer("every", 1, "Run only every n-th case.")
+_ONLY = flags.DEFINE_string(
+    "only", "", "Run only cases whose name contains this text."
+)
+_JOBS = flags.DEFINE_integer("jobs", 7, "Number of processes.")
 
 PROMISES = {
     "exact": 1,
@@ -50,7 +54,7 @@
 
 def _main(_: list[str]) -> None:
     logging.set_verbosity(logging.FATAL)
-    cases = matrix.all_cases() if _FULL.value else matrix.usual_cases()
+    cases = matrix.all_cases() if _FULL.value else matrix.rotated_cases()
     cases = [c for c in cases if _ONLY.value in c.name][:: _EVERY.value]
     with multiprocessing.Pool(_JOBS.value) as pool:
         results = []
--- a/features/run.py
+++ b/features/run.py
@@ -1,7 +1,8 @@
-"""Run behave, and end with a line of its real counts.
+"""Runs behave and ends with a line of the numbers passed and failed.
 
-Tests listed in KNOWN-RED.txt, one a line as ``name | cause | issue``, may
-fail; they are printed. Anything else that fails makes the run fail.
+Tests listed in KNOWN-RED.txt, one per line as ``name | cause | issue``, may
+fail and are printed. The run fails if any other test fails, if the list has
+more than MAX_KNOWN_RED entries, or if no scenario was found.
 """
 
 import pathlib
@@ -10,13 +11,13 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN = 3
-MOST_LONGEST = 10
+MAX_KNOWN_RED = 3
+SLOWEST_COUNT = 10
 FOLDERS = [[str(ROOT / "features")], [str(ROOT / "platform" / "features")]]
 
 
 def known_red() -> dict[str, str]:
-    """Return the lines of KNOWN-RED.txt by the name of the test."""
+    """Return the lines of KNOWN-RED.txt by test name."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -28,7 +29,11 @@
 
 
 def run_folder(arguments: list[str]) -> tuple[bool, list]:
-    """Run the features of one folder; return whether it broke, and all."""
+    """Run the features of one folder.
+
+    Returns:
+        Whether the run failed, and all its scenarios.
+    """
     from behave import configuration
     from behave import runner
 
@@ -43,10 +48,10 @@
     return broke, scenarios
 
 
-def print_longest(scenarios: list) -> None:
-    """Print which scenarios took longest, in seconds of real time."""
+def print_slowest(scenarios: list) -> None:
+    """Print the slowest scenarios with their real time in seconds."""
     by_time = sorted(scenarios, key=lambda s: s.duration, reverse=True)
-    for scenario in by_time[:MOST_LONGEST]:
+    for scenario in by_time[:SLOWEST_COUNT]:
         print(f"took {scenario.duration:6.1f} s: {scenario.name.strip()}")
 
 
@@ -70,9 +75,9 @@
         for step in scenario.all_steps:
             if step.error_message:
                 print(f"    {step.name}\n    {step.error_message}")
-    print_longest(scenarios)
+    print_slowest(scenarios)
     print(f"{len(passed)} passed, {len(failed)} failed")
-    if len(known) > MOST_KNOWN or not scenarios:
+    if len(known) > MAX_KNOWN_RED or not scenarios:
         return 1
     if failed:
         return 1 if unknown else 0
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -1,4 +1,4 @@
-"""Steps of the promises: scenarios, mutants, matrix and fuzzing."""
+"""Steps for the scenarios, mutants, fault matrix and fuzzing."""
 
 import multiprocessing
 from multiprocessing import pool as pool_lib
@@ -46,7 +46,7 @@
 
 @behave.when("every {step:d}th case of the fault matrix runs")
 def run_matrix(context, step: int) -> None:
-    cases = matrix.usual_cases()[::step]
+    cases = matrix.rotated_cases()[::step]
     with _pool() as pool:
         context.results = pool.map(
             matrix.run_in_virtual_time, cases, chunksize=1
--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -1,4 +1,4 @@
-"""What must always hold, as a plain model that records and checks."""
+"""Records the events of a simulation and checks its invariants."""
 
 import asyncio
 import collections
@@ -13,14 +13,14 @@
 if typing.TYPE_CHECKING:
     from features.support import world as world_lib
 
-SAMPLE_S = 0.2
-IN_FORCE_S = 8.0
-LEAVING_S = 5.0
+CHECK_INTERVAL_S = 0.2
+MAX_PROPAGATION_S = 8.0
+MAX_LEAVING_NOTICE_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
-    """What a caller asked of a model."""
+class RequestedCompletion:
+    """A completion that a caller requested."""
 
     model: str
     prompt: str
@@ -29,16 +29,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Answer:
-    """What a caller got.
+    """The answer that a caller received.
 
     Args:
-        whole: the last part had the end mark.
-        left: the caller went away by itself.
-        may_have_run: an earlier request of this caller's had another
-            outcome than "not run".
+        whole: the last part received carried the end mark.
+        left: the caller disconnected by itself.
+        may_have_run: the first attempt ended with a lost connection, so
+            its request may have run.
     """
 
-    asked: Asked
+    asked: RequestedCompletion
     parts: list[str] = dataclasses.field(default_factory=list)
     adapter: str = ""
     whole: bool = False
@@ -49,13 +49,13 @@
 
     @property
     def text(self) -> str:
-        """The whole text that the caller holds."""
+        """The text that the caller has received."""
         return "".join(self.parts)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Booking:
-    """A call that may not be repeated, with all its resends."""
+    """A non-idempotent call with the outcomes of all its attempts."""
 
     member: str
     key: str
@@ -71,15 +71,15 @@
         result: routing.ServiceResult | None,
         error: wire.ServingError | None,
     ) -> None:
-        """Record the outcome of one try."""
+        """Record the outcome of one attempt."""
         self.errors.append(error)
         ran = "" if error is None else str(error.ran)
         self.outcomes.append((result, ran))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Acknowledged:
-    """A change that an operator was told is accepted."""
+class AcknowledgedChange:
+    """A change that was acknowledged to an operator."""
 
     at: float
     kind: str
@@ -89,14 +89,14 @@
 
 
 class Oracle:
-    """Records what was promised and collects what broke a promise."""
+    """Records answers and changes and collects violated guarantees."""
 
     def __init__(self, world: "world_lib.World") -> None:
         self.world = world
         self.faults: list[str] = []
         self.answers: list[Answer] = []
         self.bookings: list[Booking] = []
-        self.changes: list[Acknowledged] = []
+        self.changes: list[AcknowledgedChange] = []
         self.background: set[asyncio.Task] = set()
         self.operations: dict[str, catalogue.PutReply] = {}
         self.left_at: dict[str, float] = {}
@@ -106,26 +106,28 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Start sampling."""
-        self._task = asyncio.create_task(self._sample())
+        """Start checking periodically."""
+        self._task = asyncio.create_task(self._check_periodically())
 
     def stop(self) -> None:
-        """Stop sampling."""
+        """Stop checking periodically."""
         if self._task is not None:
             self._task.cancel()
 
     # Recording.
 
-    def asked(self, answer: Answer) -> None:
-        """A caller asked a model."""
+    def record_request(self, answer: Answer) -> None:
+        """Record the request of a caller."""
         self.answers.append(answer)
 
-    def answered(self, answer: Answer) -> None:
-        """A caller's request ended; check its answer at once."""
+    def record_answer(self, answer: Answer) -> None:
+        """Check the answer of a request that has ended."""
         asked = answer.asked
         if answer.error is not None or answer.left:
             return
-        self._check(answer.whole, "exact", f"{asked}: cut answer as whole")
+        self._check(
+            answer.whole, "exact", f"{asked}: truncated answer without error"
+        )
         wanted = asked.model if "@" in asked.model else f"{asked.model}@v1"
         expected = standins.expected_text(wanted, asked.prompt, asked.tokens)
         self._check(
@@ -134,20 +136,20 @@
             f"{asked}: answered by {answer.adapter}",
         )
         self._check(
-            answer.text == expected, "own_answer", f"{asked}: other text"
+            answer.text == expected, "own_answer", f"{asked}: unexpected text"
         )
 
-    def booked(self, booking: Booking) -> None:
-        """A caller made a call that may not be repeated."""
+    def record_booking(self, booking: Booking) -> None:
+        """Record a non-idempotent call."""
         self.bookings.append(booking)
 
-    def acknowledged(
+    def record_change(
         self, put: catalogue.Put, reply: catalogue.PutReply
     ) -> None:
-        """An operator got the answer to a change."""
+        """Record and check the reply to a change."""
         known = self.operations.setdefault(put.operation_id, reply)
         self._check(
-            known == reply, "changes", f"{put.operation_id}: two outcomes"
+            known == reply, "changes", f"{put.operation_id}: replies differ"
         )
         if reply.conflict is not None or known is not reply:
             return
@@ -155,11 +157,11 @@
         deleted = put.value is None
         revision = reply.revision
         self.changes.append(
-            Acknowledged(now, str(put.kind), put.id, revision, deleted)
+            AcknowledgedChange(now, str(put.kind), put.id, revision, deleted)
         )
 
-    def lost_process(self, place: "world_lib.Place") -> None:
-        """A process was killed."""
+    def record_kill(self, place: "world_lib.EntryInstance") -> None:
+        """Do nothing: no check depends on a killed process."""
 
     # Checking.
 
@@ -169,13 +171,13 @@
             if fault not in self.faults:
                 self.faults.append(fault)
 
-    async def _sample(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
             self.check_now()
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def check_now(self) -> None:
-        """Check all that must hold at any moment."""
+        """Check the invariants that hold at any time."""
         fresh = [
             place
             for place in self.world.places
@@ -186,20 +188,22 @@
         self._check_limits()
         self._check_evictions()
 
-    def _check_changes(self, fresh: list["world_lib.Place"]) -> None:
+    def _check_changes(self, fresh: list["world_lib.EntryInstance"]) -> None:
         now = asyncio.get_running_loop().time()
         for place in fresh:
             view = place.daemon.session.view
             boot = place.daemon.session.boot
             before = self._index_by_boot.get(boot, 0)
-            self._check(view.index >= before, "changes", f"{boot}: index fell")
+            self._check(
+                view.index >= before, "changes", f"{boot}: index decreased"
+            )
             self._index_by_boot[boot] = view.index
             for change in self.changes:
-                if now - change.at > IN_FORCE_S:
-                    self._check_in_force(place.name, view, change)
+                if now - change.at > MAX_PROPAGATION_S:
+                    self._check_applied(place.name, view, change)
 
-    def _check_in_force(
-        self, name: str, view: catalogue.View, change: Acknowledged
+    def _check_applied(
+        self, name: str, view: catalogue.View, change: AcknowledgedChange
     ) -> None:
         what = f"{change.kind} {change.id} at {change.revision}, {name}"
         if change.deleted:
@@ -222,10 +226,10 @@
         self._check(
             revision >= change.revision,
             "changes",
-            f"{what}: only at {revision}",
+            f"{what}: still at revision {revision}",
         )
 
-    def _check_owners(self, fresh: list["world_lib.Place"]) -> None:
+    def _check_owners(self, fresh: list["world_lib.EntryInstance"]) -> None:
         owners: dict[str, list[str]] = collections.defaultdict(list)
         for place in fresh:
             for target, owner in place.daemon.owners.by_target.items():
@@ -237,7 +241,7 @@
             )
 
     def _check_limits(self) -> None:
-        """Requests of a member inside all daemons never pass its limit."""
+        """Check that no member exceeds its limit across all daemons."""
         limit = self.world.settings.member_concurrency
         if limit is None:
             return
@@ -261,11 +265,15 @@
             self._check(
                 not engine.stale_orders_taken,
                 "ownership",
-                f"{address}: took an order with an old number",
+                f"{address}: executed an order with an old fencing token",
             )
 
     def check_at_end(self) -> list[str]:
-        """Check what can be told only when all is over."""
+        """Check all invariants, also those that need the final state.
+
+        Returns:
+            Violations, each prefixed with the name of its guarantee.
+        """
         self.check_now()
         prompts = set()
         for engine in self.world.engine_by_address.values():
@@ -278,7 +286,7 @@
                 self._check(
                     answer.asked.prompt not in prompts,
                     "not_run",
-                    f"{answer.asked}: ran, but {error.code} said not",
+                    f"{answer.asked}: ran, but {error.code} reports not run",
                 )
         self._check_bookings()
         self._check_leaving()
@@ -293,16 +301,26 @@
             outcomes[booking.key].extend(booking.outcomes)
         for key, seen in outcomes.items():
             count = count_by_key[key]
-            self._check(count <= 1, "at_most_once", f"{key}: ran {count} x")
+            self._check(
+                count <= 1, "at_most_once", f"{key}: ran {count} times"
+            )
             done = any(result is not None for result, _ in seen)
             if done:
-                self._check(count == 1, "at_most_once", f"{key}: lost")
+                self._check(
+                    count == 1,
+                    "at_most_once",
+                    f"{key}: answered, but ran {count} times",
+                )
             only_not_run = seen and all(ran == "not_run" for _, ran in seen)
             if only_not_run:
-                self._check(count == 0, "not_run", f"{key}: ran, but said not")
+                self._check(
+                    count == 0,
+                    "not_run",
+                    f"{key}: ran, but every outcome was not run",
+                )
             bodies = {r.body for r, _ in seen if r is not None}
             self._check(
-                len(bodies) <= 1, "at_most_once", f"{key}: two outcomes"
+                len(bodies) <= 1, "at_most_once", f"{key}: answers differ"
             )
 
     def _check_leaving(self) -> None:
@@ -312,7 +330,11 @@
                 continue
             address = addresses[int(name.partition("-")[2])]
             engine = self.world.engine_by_address[address]
-            late = [at for at in engine.run_times if at > left_at + LEAVING_S]
+            late = [
+                at
+                for at in engine.run_times
+                if at > left_at + MAX_LEAVING_NOTICE_S
+            ]
             self._check(
                 not late, "leaving", f"{name}: {len(late)} runs after leaving"
             )
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -1,7 +1,8 @@
-"""A whole system in one process and in virtual time.
+"""Simulates a whole cluster in one process and in virtual time.
 
-The daemons are the real ones; disks, network and targets are small fakes
-at the interfaces. Faults can be injected at named steps.
+The daemons are real; the disks, the network and the targets are in-memory
+fakes behind the daemons' interfaces. Faults can be injected at the steps
+that wire.Step names.
 """
 
 import asyncio
@@ -25,21 +26,28 @@
 from features.support import oracle
 
 WALL_START_S = 1_800_000_000.0
-# Of processor time: on a busy machine others take most of the real time.
-LONGEST_WORK_S = 45
-# Work that waits for what never comes takes no processor time.
-LONGEST_REAL_S = 900
+# Limits processor time: real time also depends on other processes.
+MAX_PROCESSOR_S = 45
+# Limits real time: a coroutine that waits for ever uses no processor time.
+MAX_REAL_S = 900
 OPERATOR = "ops"
-CENTRES = ("mnl-a", "mnl-b", "mnl-c")
+DATACENTRES = ("mnl-a", "mnl-b", "mnl-c")
 PEER_TOKEN = "peer-token-0123456789"
 MEMBERS = ("tahi", "lakeshore")
 
-Action = collections.abc.Callable[["Place"], collections.abc.Awaitable[None]]
+Action = collections.abc.Callable[
+    ["EntryInstance"], collections.abc.Awaitable[None]
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorldSettings:
-    """Sizes and shapes of a world."""
+    """Sizes and settings of a simulated cluster.
+
+    Args:
+        load_s: time to load an adapter into an engine.
+        daemon: settings that replace the defaults of every daemon.
+    """
 
     seed: int = 1
     daemons: int = 5
@@ -57,22 +65,22 @@
 
 
 class FaultSteps(wire.FaultInjector):
-    """Runs an armed action when its step is first reached."""
+    """Runs a scheduled action when its step is first reached."""
 
-    def __init__(self, place: "Place") -> None:
+    def __init__(self, place: "EntryInstance") -> None:
         self._place = place
 
     async def reach(self, step: wire.Step, phase: wire.Phase) -> None:
         world = self._place.world
         world.reached[(step, phase)] += 1
-        action = world.armed.pop((step, phase), None)
+        action = world.action_by_step.pop((step, phase), None)
         if action is not None:
             world.fired.append((step, phase, self._place.name))
             await action(self._place)
 
 
-class Place:
-    """An entry instance: its address, its disk and its process."""
+class EntryInstance:
+    """An entry instance: its address, its disk and its daemon process."""
 
     def __init__(self, world: "World", number: int) -> None:
         self.world = world
@@ -90,7 +98,7 @@
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether its process is running."""
         return self.host is not None and not self.host.dead
 
     def link_to(self, address: str) -> standins.Link:
@@ -110,14 +118,14 @@
 
 
 class World:
-    """Daemons, stand-ins and an oracle; an async context manager."""
+    """A cluster of daemons, fakes and an oracle; an async context manager."""
 
     def __init__(self, settings: WorldSettings = WorldSettings()) -> None:
         self.settings = settings
         self.rng = random.Random(settings.seed)
         self.network = standins.MemoryNetwork(self.rng)
         self.oracle = oracle.Oracle(self)
-        self.armed: dict[tuple[wire.Step, wire.Phase], Action] = {}
+        self.action_by_step: dict[tuple[wire.Step, wire.Phase], Action] = {}
         self.fired: list[tuple[wire.Step, wire.Phase, str]] = []
         self.reached: collections.Counter = collections.Counter()
         self.links: dict[tuple[str, str], list[standins.Link]] = (
@@ -130,7 +138,7 @@
         self.list_link = standins.Link()
         self.leaving: set[str] = set()
         self.missing: set[str] = set()
-        self.places = [Place(self, n) for n in range(settings.daemons)]
+        self.places = [EntryInstance(self, n) for n in range(settings.daemons)]
         self.place_by_name = {place.name: place for place in self.places}
         self._stack = contextlib.AsyncExitStack()
         self._operations = 0
@@ -152,7 +160,7 @@
         await self._create_entries()
         newest = max(change.revision for change in self.oracle.changes)
         await self.settle(lambda: self.all_applied(newest), 10)
-        # A new leader gives no shares before earlier leases have ended.
+        # A new leader grants no shares before earlier leases have expired.
         await asyncio.sleep(4.0)
         self.oracle.start()
         return self
@@ -166,17 +174,19 @@
 
     # Starting and stopping.
 
-    def place(self, number: int) -> Place:
-        """Return a place by number."""
+    def place(self, number: int) -> EntryInstance:
+        """Return an entry instance by number."""
         return self.places[number]
 
-    def daemon_settings(self, place: Place) -> settings_lib.DaemonSettings:
-        """Return the settings of a place's daemon."""
+    def daemon_settings(
+        self, place: EntryInstance
+    ) -> settings_lib.DaemonSettings:
+        """Return the settings of an instance's daemon."""
         replicas = [p.address for p in self.places if p.disk is not None]
         values = {
             "name": place.name,
             "address": place.address,
-            "datacentre": CENTRES[place.number % 3],
+            "datacentre": DATACENTRES[place.number % 3],
             "replicas": replicas,
             "instance_list": "http://list",
             "peer_token": PEER_TOKEN,
@@ -189,8 +199,8 @@
         values |= self.settings.daemon
         return settings_lib.parse(json.dumps(values))
 
-    async def start(self, place: Place) -> None:
-        """Start a place's process."""
+    async def start(self, place: EntryInstance) -> None:
+        """Start the process of an instance."""
         if place.disk is not None:
             place.disk.start_again()
         place.frozen = False
@@ -210,11 +220,11 @@
         place.daemon = daemon
         await daemon.__aenter__()
 
-    async def kill(self, place: Place) -> None:
-        """Kill a process: nothing that it had in mind still happens."""
+    async def kill(self, place: EntryInstance) -> None:
+        """Kill a process and cancel everything that it still has to do."""
         if not place.up:
             return
-        self.oracle.lost_process(place)
+        self.oracle.record_kill(place)
         self.network.kill(place.address)
         for link in place.links:
             link.held.clear()
@@ -224,34 +234,34 @@
             task.cancel()
         await place.daemon.__aexit__(None, None, None)
 
-    async def kill_here(self, place: Place) -> None:
-        """Kill a process from within one of its own steps."""
+    async def kill_here(self, place: EntryInstance) -> None:
+        """Kill a process from within one of its own steps; never returns."""
         ending = asyncio.create_task(self.kill(place))
         self.oracle.background.add(ending)
         await asyncio.Event().wait()
 
-    async def restart(self, place: Place) -> None:
-        """Kill a process if it runs, and start it."""
+    async def restart(self, place: EntryInstance) -> None:
+        """Kill a process if it is running, then start it."""
         await self.kill(place)
         await self.start(place)
 
-    def freeze(self, place: Place) -> None:
-        """Freeze a process; its timers then find themselves late."""
+    def freeze(self, place: EntryInstance) -> None:
+        """Suspend a process; timers that expire meanwhile fire late."""
         place.frozen = True
         place.host.awake.clear()
         for link in place.links:
             link.held.clear()
 
-    def wake(self, place: Place) -> None:
-        """Let a frozen process go on."""
+    def wake(self, place: EntryInstance) -> None:
+        """Resume a frozen process."""
         place.frozen = False
         if place.up:
             place.host.awake.set()
             for link in place.links:
                 link.held.set()
 
-    def leader(self) -> Place | None:
-        """Return the place that leads, if one surely does."""
+    def leader(self) -> EntryInstance | None:
+        """Return the running leader that holds a leader lease, if any."""
         for place in self.places:
             if place.up and not place.frozen and place.daemon.node:
                 if place.daemon.node.holds_lease():
@@ -259,8 +269,8 @@
         return None
 
     async def heal(self) -> None:
-        """End all faults and wait until the system is whole again."""
-        self.armed.clear()
+        """End all faults and wait until every daemon holds a lease."""
+        self.action_by_step.clear()
         self.network.heal()
         self.store.fault = None
         self.instances.fault = None
@@ -275,7 +285,7 @@
             engine.load_hang_s = 0.0
         for place in self.places:
             if place.disk is not None:
-                # A disk may be about to fail that nobody wrote to yet.
+                # The fault may be set on a disk that was not written to yet.
                 place.disk.fail_syncs = False
                 place.disk.full = False
             node = place.daemon.node if place.daemon else None
@@ -287,13 +297,13 @@
         await self.settle(self.all_fresh, 60)
 
     def all_fresh(self) -> bool:
-        """Whether every daemon that runs holds a lease."""
+        """Whether every daemon is running and holds a lease."""
         return all(
             place.up and place.daemon.session.fresh() for place in self.places
         )
 
     def all_applied(self, index: int) -> bool:
-        """Whether a change is in force at every daemon."""
+        """Whether every daemon has applied the log up to an index."""
         return all(
             place.up and place.daemon.session.view.index >= index
             for place in self.places
@@ -302,21 +312,25 @@
     async def settle(
         self, check: collections.abc.Callable[[], bool], timeout_s: float
     ) -> None:
-        """Wait, in virtual time, until a check holds."""
+        """Wait in virtual time until a condition holds.
+
+        Raises:
+            AssertionError: it does not hold after timeout_s.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while not check():
             if loop.time() > deadline:
                 raise AssertionError(
-                    f"{getattr(check, '__name__', 'It')} does not hold "
-                    f"after {timeout_s} s. Fired: {self.fired}"
+                    f"{getattr(check, '__name__', 'condition')} does not hold "
+                    f"after {timeout_s} s; injected faults: {self.fired}"
                 )
             await asyncio.sleep(0.05)
 
-    # The outside.
+    # The instance list, targets and the clock.
 
     def publish(self) -> None:
-        """Set the instance list from what is leaving or missing."""
+        """Update the instance list with the leaving and missing targets."""
         listed = []
         for kind, pool, addresses in (
             ("runner", "sastre-llm", self.engine_by_address),
@@ -330,7 +344,7 @@
                 if name not in self.missing:
                     listed.append(
                         targets.Instance(
-                            name, pool, address, CENTRES[number % 3], state
+                            name, pool, address, DATACENTRES[number % 3], state
                         )
                     )
         self.instances.set(tuple(listed))
@@ -339,16 +353,20 @@
         """Return an engine by number."""
         return list(self.engine_by_address.values())[number]
 
-    def _engine_for(self, place: Place, address: str) -> targets.Engine:
+    def _engine_for(
+        self, place: EntryInstance, address: str
+    ) -> targets.Engine:
         engine = self.engine_by_address[address]
         return standins.MemoryEngine(engine, place.link_to(address))
 
-    def _service_for(self, place: Place, address: str) -> targets.Service:
+    def _service_for(
+        self, place: EntryInstance, address: str
+    ) -> targets.Service:
         service = self.service_by_address[address]
         return standins.MemoryService(service, place.link_to(address))
 
     def wall_s(self) -> float:
-        """Return the wall clock."""
+        """Return the wall-clock time in seconds since the epoch."""
         return WALL_START_S + asyncio.get_running_loop().time()
 
     # Operators and callers.
@@ -386,12 +404,16 @@
         kind: str,
         entry_id: str,
         value: dict | None,
-        at: Place | None = None,
+        at: EntryInstance | None = None,
         if_revision: int | None = None,
         operation_id: str | None = None,
         tries: int = 30,
     ) -> catalogue.PutReply | None:
-        """Change an entry as an operator who resends; None if it gave up."""
+        """Change an entry as an operator who resends on errors.
+
+        Args:
+            tries: the number of attempts before it returns None.
+        """
         self._operations += 1
         place = at or self.places[0]
         put = catalogue.Put(
@@ -414,18 +436,22 @@
                 await asyncio.sleep(0.2)
                 place = self._any_up() or place
                 continue
-            self.oracle.acknowledged(put, reply)
+            self.oracle.record_change(put, reply)
             return reply
         return None
 
-    def _any_up(self) -> Place | None:
+    def _any_up(self) -> EntryInstance | None:
         up = [p for p in self.places if p.up and not p.frozen]
         return self.rng.choice(up) if up else None
 
     async def _in_process(
-        self, place: Place, work: collections.abc.Coroutine
+        self, place: EntryInstance, work: collections.abc.Coroutine
     ) -> object:
-        """Run work inside a process, so that it dies with it."""
+        """Run work inside a process, so that killing it cancels the work.
+
+        Raises:
+            wire.PeerLostError: the process was killed.
+        """
         task = asyncio.create_task(work)
         place.tasks.add(task)
         task.add_done_callback(place.tasks.discard)
@@ -440,27 +466,27 @@
     async def complete(
         self,
         adapter: int,
-        at: Place,
+        at: EntryInstance,
         tokens: int = 5,
         deadline_s: float = 20.0,
         version: str | None = None,
         leave_after: int | None = None,
         reconnect: bool = True,
     ) -> oracle.Answer:
-        """Ask a model as a caller who reconnects once when cut off.
+        """Request a completion; reconnect once if the instance is lost.
 
         Args:
-            leave_after: go away after so many parts.
+            leave_after: disconnect after this number of parts.
         """
         self._requests += 1
         prompt = f"prompt {self._requests}"
         model = f"adapter-{adapter}"
         if version is not None:
             model = f"{model}@{version}"
-        asked = oracle.Asked(model, prompt, tokens)
+        asked = oracle.RequestedCompletion(model, prompt, tokens)
         answer = oracle.Answer(asked)
         member = MEMBERS[adapter % 2]
-        self.oracle.asked(answer)
+        self.oracle.record_request(answer)
         resume: routing.ResumePoint | None = None
         for attempt in range(2):
             request = routing.Completion(
@@ -485,12 +511,12 @@
                 at = self._any_up() or at
                 if resume is None:
                     answer.parts.clear()
-        self.oracle.answered(answer)
+        self.oracle.record_answer(answer)
         return answer
 
     async def _read(
         self,
-        place: Place,
+        place: EntryInstance,
         member: str,
         request: routing.Completion,
         answer: oracle.Answer,
@@ -513,16 +539,16 @@
     async def book(
         self,
         number: int,
-        at: Place,
+        at: EntryInstance,
         key: str | None = None,
         resends: int = 0,
         deadline_s: float = 8.0,
     ) -> oracle.Booking:
-        """Make a call that may not be repeated, and resend it if lost."""
+        """Make a non-idempotent service call, resending it after errors."""
         member = MEMBERS[number % 2]
         key = key or f"{int(self.wall_s())}-{number}"
         booking = oracle.Booking(member, key)
-        self.oracle.booked(booking)
+        self.oracle.record_booking(booking)
         for _ in range(resends + 1):
             call = routing.ServiceCall(
                 f"booking-{number}",
@@ -561,26 +587,27 @@
     }
 
 
-class HungError(Exception):
-    """Work in virtual time that makes no progress."""
+class TimeLimitError(Exception):
+    """Work in virtual time that exceeds its time limit."""
 
 
-def _too_long(*_: object) -> None:
-    raise HungError(
-        f"It hangs after {LONGEST_WORK_S} s of work or {LONGEST_REAL_S} s."
+def _raise_time_limit(*_: object) -> None:
+    raise TimeLimitError(
+        f"not done after {MAX_PROCESSOR_S} s of processor time or "
+        f"{MAX_REAL_S} s of real time"
     )
 
 
 def run_virtual(work: collections.abc.Coroutine) -> object:
-    """Run work in virtual time on a loop of its own.
+    """Run a coroutine in virtual time on a new event loop.
 
     Raises:
-        HungError: it used far more real time than it can need.
+        TimeLimitError: it exceeded its limit of processor time or real time.
     """
-    signal.signal(signal.SIGALRM, _too_long)
-    signal.signal(signal.SIGPROF, _too_long)
-    signal.alarm(LONGEST_REAL_S)
-    signal.setitimer(signal.ITIMER_PROF, LONGEST_WORK_S)
+    signal.signal(signal.SIGALRM, _raise_time_limit)
+    signal.signal(signal.SIGPROF, _raise_time_limit)
+    signal.alarm(MAX_REAL_S)
+    signal.setitimer(signal.ITIMER_PROF, MAX_PROCESSOR_S)
     loop = looptime.new_event_loop()
     asyncio.set_event_loop(loop)
     try:
