--- a/libs/standins/src/bergamotsail/standins/_engine.py
+++ b/libs/standins/src/bergamotsail/standins/_engine.py
@@ -1,4 +1,4 @@
-"""The rules of a continuously batching engine with few adapter slots."""
+"""In-process fake of an LLM engine: continuous batching, LoRA slots."""
 
 import abc
 import asyncio
@@ -15,23 +15,32 @@
 
 
 class WeightSource(abc.ABC):
-    """Where an engine fetches weights from."""
+    """Source from which an engine fetches adapter weights."""
 
     @abc.abstractmethod
     async def fetch(self, weights: str) -> None:
-        """Return once the weights are there; raises EngineError."""
+        """Return once the weights are fetched.
+
+        Raises:
+            EngineError: the fetch failed.
+        """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """The shape of a stand-in engine.
+    """Capacity, timing and protocol behaviour of a stand-in engine.
 
     Args:
-        report_lag_s: how old its reports are.
-        refuses_old: whether it refuses an old fencing number.
-        checks_incarnation: whether it refuses a run for another one.
-        sloppy: whether it answers from whatever it holds when the adapter
-            asked for is not resident.
+        step_s: seconds per decoding step.
+        report_lag_s: age of a report in seconds; a report is older when no
+            newer one of at least this age exists.
+        refuses_old: whether a request with a fencing token below the
+            highest one seen is rejected.
+        checks_incarnation: whether a run addressed to another incarnation
+            is rejected.
+        sloppy: whether a run for an adapter that is not resident is served
+            by one that is, or by the base model.
+        cached_prefixes: capacity of the prefix cache, in prompts.
     """
 
     adapter_slots: int = 4
@@ -46,7 +55,7 @@
 
 
 class _Sequence:
-    """A running prompt and the chunks it made so far."""
+    """A run and the chunks generated for it so far."""
 
     def __init__(self, run: targets.Run, arrival: int) -> None:
         self.run = run
@@ -62,10 +71,11 @@
 
 
 class EngineStandIn:
-    """An engine; an async context manager that runs its step loop.
+    """A fake engine; an async context manager that runs its step loop.
 
-    It keeps count of what a real one would not tell: evictions of an
-    adapter that was serving, and runs by stream.
+    It records what a real engine does not report, for tests to assert on:
+    evictions of an adapter with running sequences, accepted stale orders,
+    and runs per stream.
     """
 
     def __init__(self, settings: EngineSettings, store: WeightSource) -> None:
@@ -111,7 +121,7 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     def restart(self) -> None:
-        """Restart empty; running streams break."""
+        """Restart with no residents and no epoch; running streams fail."""
         lost = list(self._sequence_by_stream.values())
         self._start_empty()
         self._highest_epoch = 0
@@ -121,13 +131,16 @@
             sequence.wake()
 
     def active_by_resident(self) -> collections.Counter[str]:
-        """Return running sequences by adapter."""
+        """Return the number of running sequences per adapter."""
         return collections.Counter(
             s.run.adapter for s in self._running_sequences()
         )
 
     def report(self) -> targets.EngineReport:
-        """Return the state as it stood some time ago."""
+        """Return the newest report of at least ``report_lag_s`` in age.
+
+        If none is that old, the oldest one is returned.
+        """
         now = asyncio.get_running_loop().time()
         self._remember_report(now)
         at, report = self._past_reports[0]
@@ -141,7 +154,8 @@
 
     def _remember_report(self, now: float) -> None:
         active = self.active_by_resident()
-        # Events of the prefix cache come late and with gaps.
+        # Simulates prefix cache events that arrive late or are lost: the two
+        # newest prefixes and one in eight are left out.
         prefixes = tuple(p for p in self._prefixes if p % 8)[:-2]
         report = targets.EngineReport(
             self.incarnation,
@@ -166,11 +180,12 @@
             return
         if name in self._loading:
             raise wire.EngineError(
-                f"{name} is being loaded.", ran=wire.Ran.UNKNOWN
+                f"Adapter {name} is already being loaded.",
+                ran=wire.Ran.UNKNOWN,
             )
         used = len(self.residents) + len(self._loading)
         if used >= self.settings.adapter_slots:
-            raise wire.EngineError("All adapter slots are taken.")
+            raise wire.EngineError("All adapter slots are in use.")
         incarnation = self.incarnation
         self._loading.add(name)
         try:
@@ -187,7 +202,7 @@
         self.loads += 1
 
     async def unload(self, epoch: int, name: str) -> None:
-        """Remove an adapter, even from under its runs."""
+        """Remove an adapter; its running sequences fail."""
         self._check_epoch(epoch)
         if name not in self.residents:
             return
@@ -200,7 +215,7 @@
                 sequence.wake()
 
     async def cancel(self, epoch: int, stream_id: str) -> None:
-        """End a stream."""
+        """Cancel a stream and discard it."""
         self._check_epoch(epoch)
         sequence = self._sequence_by_stream.pop(stream_id, None)
         if sequence is not None and not sequence.finished:
@@ -212,7 +227,7 @@
     async def run(
         self, epoch: int, run: targets.Run
     ) -> collections.abc.AsyncIterator[targets.Chunk]:
-        """Run or resume, and yield chunks."""
+        """Start a run, or resume one after a chunk, and yield its chunks."""
         self._check_epoch(epoch)
         sequence = self._find_or_start(run)
         number = 0 if run.resume_after is None else run.resume_after + 1
@@ -231,19 +246,20 @@
         other = run.incarnation != self.incarnation
         if other and self.settings.checks_incarnation:
             raise wire.EngineError(
-                "This engine is another incarnation.", ran=wire.Ran.NOT_RUN
+                "The run is for another incarnation of this engine.",
+                ran=wire.Ran.NOT_RUN,
             )
         if run.resume_after is not None:
             sequence = self._sequence_by_stream.get(run.stream_id)
             if sequence is None:
-                raise wire.EngineError("There is no such stream to resume.")
+                raise wire.EngineError("The stream to resume does not exist.")
             return sequence
         if run.adapter not in self.residents and self.settings.sloppy:
             held = min(self.residents, default="base")
             run = dataclasses.replace(run, adapter=held)
         elif run.adapter not in self.residents:
             raise wire.EngineError(
-                f"{run.adapter} is not resident.", ran=wire.Ran.NOT_RUN
+                f"Adapter {run.adapter} is not resident.", ran=wire.Ran.NOT_RUN
             )
         sequence = _Sequence(run, len(self.runs_by_stream))
         self._sequence_by_stream[run.stream_id] = sequence
@@ -261,7 +277,7 @@
         if epoch < self._highest_epoch:
             if self.settings.refuses_old:
                 raise wire.StaleOrderError(
-                    f"Fencing number {epoch} is older than "
+                    f"Fencing token {epoch} is lower than "
                     f"{self._highest_epoch}."
                 )
             self.stale_orders_taken += 1
@@ -315,13 +331,16 @@
 
 
 def token_text(adapter: str, prompt: str, number: int) -> str:
-    """Return the token that this adapter version gives at a place."""
+    """Return the token that an adapter version generates at an index.
+
+    It is a hash, so that text from a wrong adapter is detected.
+    """
     mixed = zlib.crc32(f"{adapter}|{prompt}|{number}".encode())
     return f"{mixed:08x} "
 
 
 def expected_text(adapter: str, prompt: str, max_tokens: int) -> str:
-    """Return the whole answer of an adapter version to a prompt."""
+    """Return the complete text an adapter version generates for a prompt."""
     return "".join(
         token_text(adapter, prompt, number) for number in range(max_tokens)
     )
