--- a/libs/standins/src/bergamotsail/standins/_others.py
+++ b/libs/standins/src/bergamotsail/standins/_others.py
@@ -1,4 +1,4 @@
-"""The rules of a weight store, a plain service and an instance list."""
+"""In-process fakes of a weight store, a service and an instance list."""
 
 import asyncio
 import collections
@@ -12,10 +12,10 @@
 
 
 class WeightStoreStandIn(_engine.WeightSource):
-    """A store that all its readers share the speed of.
+    """A fake weight store whose bandwidth is shared by concurrent loads.
 
     Args:
-        load_s: seconds for one load when it is the only one.
+        load_s: seconds for one load without concurrent loads.
     """
 
     def __init__(self, load_s: float) -> None:
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedCall:
-    """A call as the service got it."""
+    """A call that the service received."""
 
     method: str
     path: str
@@ -53,10 +53,10 @@
 
 
 class ServiceStandIn:
-    """A plain service that counts what it did.
+    """A fake service that records its calls, per idempotency key.
 
     Args:
-        delay_s: seconds that a call takes.
+        delay_s: seconds that each call takes.
     """
 
     def __init__(self, delay_s: float = 0.01) -> None:
@@ -67,7 +67,7 @@
     async def call(
         self, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> targets.ServiceReply:
-        """Do a call; from here on it has run."""
+        """Run a call; it is counted as run before the delay."""
         lowered = {name.lower(): value for name, value in headers.items()}
         key = lowered.get("idempotency-key", "")
         self.received.append(ReceivedCall(method, path, key, body))
@@ -79,10 +79,10 @@
 
 
 class InstanceListStandIn:
-    """The platform's list, which shows changes late.
+    """A fake of the platform's instance list with propagation delay.
 
     Args:
-        lag_s: how long a change takes to show.
+        lag_s: seconds until a change becomes visible.
     """
 
     def __init__(self, lag_s: float = 0.5) -> None:
@@ -91,13 +91,17 @@
         self._history: list[tuple[float, tuple[targets.Instance, ...]]] = []
 
     def set(self, instances: tuple[targets.Instance, ...]) -> None:
-        """Change the list; the first setting shows at once."""
+        """Replace the list; the first one is visible immediately."""
         now = asyncio.get_running_loop().time()
         shows_at = now + self.lag_s if self._history else now
         self._history.append((shows_at, instances))
 
     def read(self) -> tuple[targets.Instance, ...]:
-        """Return the list as it shows now."""
+        """Return the list that is visible now.
+
+        Raises:
+            ServingError: the fault that was injected.
+        """
         if self.fault is not None:
             raise self.fault
         now = asyncio.get_running_loop().time()
