--- a/libs/standins/src/bergamotsail/standins/_disk.py
+++ b/libs/standins/src/bergamotsail/standins/_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that forgets what was not synced."""
+"""In-memory disk that loses unsynced writes on a crash."""
 
 import asyncio
 import random
@@ -9,12 +9,18 @@
 
 
 class MemoryDisk(quorum.Disk):
-    """Files in memory; ``crash`` keeps only what was synced.
+    """Files in memory, with injectable faults.
 
     Args:
-        rng: decides how much of an unsynced write is torn.
-
-    ``read_s`` and ``sync_s`` are how long a read and a sync take.
+        rng: chooses how an unsynced write is torn in a crash.
+
+    Attributes:
+        fail_syncs: whether a sync fails and drops the unsynced data.
+        full: whether appends fail.
+        tear: whether a crash keeps part of the unsynced data.
+        dead: whether the process crashed; most operations then block.
+        read_s: seconds that a read takes.
+        sync_s: seconds that a sync takes.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -29,7 +35,7 @@
         self._pending_by_name: dict[str, bytes] = {}
 
     def crash(self) -> None:
-        """Lose what was not synced; with *tear* a part of it stays."""
+        """Drop unsynced data; with ``tear``, keep part of it."""
         for name, pending in self._pending_by_name.items():
             kept = b""
             if self.tear and pending:
@@ -41,7 +47,7 @@
         self.dead = True
 
     def _torn(self, pending: bytes) -> bytes:
-        """Return a write whose end, or some part of it, is missing."""
+        """Return a write that is cut short, or has a range of zeros."""
         first = self._rng.randrange(len(pending))
         if self._rng.random() < 0.5:
             return pending[:first]
@@ -49,13 +55,13 @@
         return pending[:first] + bytes(last - first) + pending[last:]
 
     def start_again(self) -> None:
-        """Make the disk usable by the next process."""
+        """Clear the faults, so that a restarted process can use the disk."""
         self.dead = False
         self.fail_syncs = False
         self.full = False
 
     def lose(self) -> None:
-        """Lose everything."""
+        """Delete all files."""
         self._synced_by_name.clear()
         self._pending_by_name.clear()
 
@@ -104,5 +110,6 @@
 
     async def _check(self) -> None:
         if self.dead:
-            # A killed process writes no more; its tasks are being ended.
+            # A crashed process writes nothing more: block until its tasks
+            # are cancelled.
             await asyncio.Event().wait()
