--- a/libs/standins/src/bergamotsail/standins/_memory.py
+++ b/libs/standins/src/bergamotsail/standins/_memory.py
@@ -1,7 +1,7 @@
-"""The stand-ins at the product's interfaces, within one process.
+"""In-process implementations of the target interfaces.
 
-A *link* says whether and how a call gets through, so that a test can cut
-it, lose a reply or hold it back.
+Each wraps a stand-in behind a ``Link``, on which a test injects network
+faults: a cut link, lost replies, or a frozen sender.
 """
 
 import asyncio
@@ -16,14 +16,16 @@
 
 
 class Link:
-    """What happens to calls on their way to a target and back.
-
-    Args:
-        cut: nothing gets through.
-        lose_replies: calls arrive, but their replies are lost.
-        delay_s: time on the way, each way.
-        crossed: chunks come twice, and those of others are mixed in.
-        gappy: now and then a chunk is lost.
+    """Fault injection for the connection to a target.
+
+    Attributes:
+        cut: whether no call or reply gets through.
+        lose_replies: whether calls arrive but their replies are lost.
+        delay_s: one-way latency in seconds.
+        crossed: whether each chunk is duplicated and followed by a chunk
+            of another stream.
+        gappy: whether one chunk in seven is lost.
+        held: cleared while the sender is frozen.
     """
 
     def __init__(self) -> None:
@@ -36,17 +38,25 @@
         self.held.set()
 
     async def hold(self) -> None:
-        """Wait while the sender is frozen."""
+        """Block while the sender is frozen."""
         await self.held.wait()
 
     async def go(self) -> None:
-        """Take a call to the target."""
+        """Simulate sending a call to the target.
+
+        Raises:
+            NotSentError: the link is cut.
+        """
         await asyncio.sleep(self.delay_s)
         if self.cut:
             raise wire.NotSentError("The link is cut.")
 
     async def back(self) -> None:
-        """Take a reply to the caller."""
+        """Simulate returning a reply to the caller.
+
+        Raises:
+            PeerLostError: the reply was lost.
+        """
         await asyncio.sleep(self.delay_s)
         await self.hold()
         if self.cut or self.lose_replies:
@@ -54,7 +64,7 @@
 
 
 class MemoryEngine(targets.Engine):
-    """An engine stand-in behind a link."""
+    """Engine client that calls an engine stand-in over a link."""
 
     def __init__(self, engine: _engine.EngineStandIn, link: Link) -> None:
         self._engine = engine
@@ -97,7 +107,7 @@
     def _arrivals(
         self, chunk: targets.Chunk
     ) -> collections.abc.Iterator[targets.Chunk]:
-        """Yield what arrives in the place of a chunk."""
+        """Yield the chunks that arrive for one that was sent."""
         if self._link.gappy and chunk.number % 7 == 3:
             return
         yield chunk
@@ -108,12 +118,14 @@
     async def _send(self, order: targets.Order) -> None:
         await self._link.hold()
         if not order.gate():
-            raise wire.NotSentError("The lease ended before the order went.")
+            raise wire.NotSentError(
+                "The lease ended before the order was sent."
+            )
         await self._link.go()
 
 
 class MemoryService(targets.Service):
-    """A service stand-in behind a link."""
+    """Service client that calls a service stand-in over a link."""
 
     def __init__(self, service: _others.ServiceStandIn, link: Link) -> None:
         self._service = service
@@ -124,7 +136,9 @@
     ) -> targets.ServiceReply:
         await self._link.hold()
         if not request.gate():
-            raise wire.NotSentError("The lease ended before the call went.")
+            raise wire.NotSentError(
+                "The lease ended before the call was sent."
+            )
         await self._link.go()
         try:
             async with asyncio.timeout(request.timeout_s):
@@ -141,7 +155,7 @@
 
 
 class MemoryInstanceList(targets.InstanceList):
-    """An instance list stand-in behind a link."""
+    """Instance list client that reads a stand-in over a link."""
 
     def __init__(
         self, instances: _others.InstanceListStandIn, link: Link
