--- a/libs/standins/src/bergamotsail/standins/_network.py
+++ b/libs/standins/src/bergamotsail/standins/_network.py
@@ -1,4 +1,4 @@
-"""Daemons' calls within one process, with faults on the way."""
+"""In-process network between daemons, with fault injection."""
 
 import asyncio
 import collections
@@ -11,13 +11,19 @@
 from bergamotsail import wire
 
 DELAY_S = 0.0005
-# A slow link is shared by the replies on it in turns of so many bytes.
+# Concurrent replies on a slow link take turns in units of this size.
 TURN_BYTES = 8_192
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Host:
-    """A daemon's place in the network."""
+    """A daemon process at an address of the network.
+
+    Attributes:
+        dead: whether the process was killed.
+        awake: cleared while the process is frozen.
+        tasks: handlers that run in the process.
+    """
 
     address: str
     server: wire.PeerServer
@@ -27,7 +33,16 @@
 
 
 class MemoryNetwork:
-    """Hosts by address, and which ways between them are cut."""
+    """A simulated network of hosts.
+
+    Attributes:
+        cuts: (source, destination) pairs between which messages are dropped.
+        duplicate: probability that a request is delivered twice.
+        slow: upper bound of the extra one-way latency, in seconds.
+        bytes_per_s: bandwidth limit for replies, by receiving address.
+        received: bytes received over a limited link, by address.
+        stalled: receiving addresses on whose limited link a transfer hangs.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self.host_by_address: dict[str, Host] = {}
@@ -35,15 +50,16 @@
         self.duplicate = 0.0
         self.slow = 0.0
         self.rng = rng
-        # Links that are slow, by the address of who receives.
         self.bytes_per_s: dict[str, float] = {}
         self.received: collections.Counter[str] = collections.Counter()
-        # What is carried to these hosts now never arrives.
         self.stalled: set[str] = set()
         self._link_by_address: dict[str, asyncio.Lock] = {}
 
     async def carry(self, address: str, size: int) -> None:
-        """Take the time that a reply needs on the link to its receiver."""
+        """Wait for the transfer time of a reply to its receiver.
+
+        The links of stalled receivers block forever.
+        """
         rate = self.bytes_per_s.get(address)
         if rate is None:
             return
@@ -58,49 +74,49 @@
                 await asyncio.Event().wait()
 
     def join(self, address: str, server: wire.PeerServer) -> Host:
-        """Put a new process at an address."""
+        """Register a new process at an address."""
         host = Host(address, server)
         host.awake.set()
         self.host_by_address[address] = host
         return host
 
     def kill(self, address: str) -> None:
-        """End the process there: nothing more goes out or comes in."""
+        """Kill the process at an address and cancel its handlers."""
         host = self.host_by_address[address]
         host.dead = True
         for task in list(host.tasks):
             task.cancel()
 
     def cut(self, one: str, other: str, both_ways: bool = True) -> None:
-        """Drop silently all that goes from one host to the other."""
+        """Partition one host from the other; messages are dropped silently."""
         self.cuts.add((one, other))
         if both_ways:
             self.cuts.add((other, one))
 
     def isolate(self, address: str, both_ways: bool = True) -> None:
-        """Cut a host off from all others."""
+        """Partition a host from all others."""
         for other in self.host_by_address:
             if other != address:
                 self.cut(address, other, both_ways)
 
     def heal(self) -> None:
-        """Let everything through again."""
+        """Remove all partitions, duplication and extra latency."""
         self.cuts.clear()
         self.duplicate = 0.0
         self.slow = 0.0
 
     async def delay(self) -> None:
-        """Take the time of one way."""
+        """Wait for the latency of one message."""
         extra_s = self.rng.random() * self.slow
         await asyncio.sleep(DELAY_S * (1 + self.rng.random()) + extra_s)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether this way is cut."""
+        """Return whether messages from source to target are dropped."""
         return (source, target) in self.cuts
 
 
 class MemoryTransport(wire.PeerTransport):
-    """The transport of the process at one address."""
+    """Peer transport of the process at one address."""
 
     def __init__(self, network: MemoryNetwork, address: str) -> None:
         self._network = network
@@ -139,7 +155,7 @@
                 _spawn(target, self._hang_up(address, work))
 
     async def _hang_up(self, address: str, work: asyncio.Task) -> None:
-        """End a handler whose caller went away, as real servers do."""
+        """Cancel a handler whose caller disconnected, as a server does."""
         await self._network.delay()
         if not self._network.is_cut(self._address, address):
             work.cancel()
@@ -195,7 +211,7 @@
             raise
 
     async def _go(self, address: str) -> Host:
-        """Take a message to a live host, or hang while the way is cut."""
+        """Return the host once a message reaches it; block while it is cut."""
         source = self._host()
         await source.awake.wait()
         await self._network.delay()
