--- a/libs/standins/src/bergamotsail/standins/main.py
+++ b/libs/standins/src/bergamotsail/standins/main.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process."""
+"""Command line entry point that serves one stand-in over HTTP."""
 
 import asyncio
 import contextlib
@@ -14,13 +14,22 @@
 from bergamotsail import wire
 
 _KIND = flags.DEFINE_enum(
-    "kind", None, ["engine", "service", "store", "list"], "What to stand in."
+    "kind",
+    None,
+    ["engine", "service", "store", "list"],
+    "System to stand in for.",
+)
+_ADDRESS = flags.DEFINE_string(
+    "address", None, "IP address and port to listen on."
 )
-_ADDRESS = flags.DEFINE_string("address", None, "IP number and port.")
 _STORE = flags.DEFINE_string("store", None, "Address of the weight store.")
 _SETTINGS = flags.DEFINE_string("engine", "{}", "Engine settings as JSON.")
-_LOAD_S = flags.DEFINE_float("load_s", 0.25, "Seconds for one load.")
-_LAG_S = flags.DEFINE_float("lag_s", 0.5, "Lag of the instance list.")
+_LOAD_S = flags.DEFINE_float(
+    "load_s", 0.25, "Seconds for one load from the store."
+)
+_LAG_S = flags.DEFINE_float(
+    "lag_s", 0.5, "Seconds until a list change is visible."
+)
 _DELAY_S = flags.DEFINE_float("delay_s", 0.01, "Seconds for a service call.")
 
 
@@ -60,7 +69,7 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Run the stand-in named by the command line flags."""
     flags.mark_flags_as_required(["kind", "address"])
     app.run(_main)
 
