--- a/libs/standins/src/bergamotsail/standins/__init__.py
+++ b/libs/standins/src/bergamotsail/standins/__init__.py
@@ -1,8 +1,8 @@
-"""Small stand-ins of the outside systems.
+"""Fakes (stand-ins) of the external systems.
 
-They speak the published protocols just enough to try the product: the
-demonstration, the tests and the measurements all use these. Each comes as
-a plain object with the rules, and as HTTP handlers around it.
+They implement the subset of the published protocols that the demonstration,
+the tests and the benchmarks need. Each is available as an in-process object
+and as HTTP handlers around it.
 """
 
 from bergamotsail.standins import _disk
