--- a/libs/standins/src/bergamotsail/standins/_http.py
+++ b/libs/standins/src/bergamotsail/standins/_http.py
@@ -1,4 +1,4 @@
-"""The stand-ins over HTTP, for separate processes."""
+"""HTTP handlers for the stand-ins, to run them as separate processes."""
 
 import contextlib
 import dataclasses
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineControl:
-    """Faults to set on an engine; what is None stays."""
+    """Faults to inject into an engine; a field that is None is unchanged."""
 
     leaving: bool | None = None
     restart: bool = False
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineRecords:
-    """What an engine counted."""
+    """Counters and records of an engine, for tests to assert on."""
 
     evicted_while_serving: list[str]
     runs_by_stream: dict[str, int]
@@ -174,14 +174,14 @@
         if control.load_hang_s is not None:
             self.engine.load_hang_s = control.load_hang_s
         if control.fail_loads is not None:
-            fault = wire.EngineError("Loads fail for now.")
+            fault = wire.EngineError("Loads fail by an injected fault.")
             self.engine.load_fault = fault if control.fail_loads else None
         if control.restart:
             self.engine.restart()
 
 
 def engine_application(engine: _engine.EngineStandIn) -> web.Application:
-    """Return the HTTP form of an engine."""
+    """Return the web application that serves an engine stand-in."""
     args = {"engine": engine}
     return web.Application(
         [
@@ -206,12 +206,12 @@
 
 
 def store_application(store: _others.WeightStoreStandIn) -> web.Application:
-    """Return the HTTP form of a weight store."""
+    """Return the web application that serves a weight store stand-in."""
     return web.Application([(r"/fetch", _Fetch, {"store": store})])
 
 
 class HttpWeightStore(_engine.WeightSource):
-    """A weight store in another process."""
+    """Client of a weight store in another process."""
 
     def __init__(self, http: wire.HttpClient, address: str) -> None:
         self._http = http
@@ -223,7 +223,9 @@
         )
         reply = await self._http.fetch(request)
         if reply.status != 200:
-            raise wire.EngineError("The weight store failed the load.")
+            raise wire.EngineError(
+                f"The weight store failed the load: status {reply.status}."
+            )
 
 
 class _AnyCall(_Handler):
@@ -247,7 +249,7 @@
 
 
 def service_application(service: _others.ServiceStandIn) -> web.Application:
-    """Return the HTTP form of a plain service."""
+    """Return the web application that serves a service stand-in."""
     return web.Application([(r".*", _AnyCall, {"service": service})])
 
 
@@ -269,5 +271,5 @@
 def list_application(
     instances: _others.InstanceListStandIn,
 ) -> web.Application:
-    """Return the HTTP form of an instance list."""
+    """Return the web application that serves an instance list stand-in."""
     return web.Application([(r"/instances", _List, {"instances": instances})])
