--- a/libs/standins/src/bergamotsail/standins/_engine.py
+++ b/libs/standins/src/bergamotsail/standins/_engine.py
@@ -32,8 +32,7 @@
 
     Args:
         step_s: seconds per decoding step.
-        report_lag_s: age of a report in seconds; a report is older when no
-            newer one of at least this age exists.
+        report_lag_s: seconds by which reports lag behind the state.
         refuses_old: whether a request with a fencing token below the
             highest one seen is rejected.
         checks_incarnation: whether a run addressed to another incarnation
