--- a/libs/standins/src/bergamotsail/standins/_network.py
+++ b/libs/standins/src/bergamotsail/standins/_network.py
@@ -58,7 +58,8 @@
     async def carry(self, address: str, size: int) -> None:
         """Wait for the transfer time of a reply to its receiver.
 
-        The links of stalled receivers block forever.
+        A link without a bandwidth limit takes no time. On a limited link a
+        transfer to a stalled receiver never completes.
         """
         rate = self.bytes_per_s.get(address)
         if rate is None:
@@ -88,13 +89,13 @@
             task.cancel()
 
     def cut(self, one: str, other: str, both_ways: bool = True) -> None:
-        """Partition one host from the other; messages are dropped silently."""
+        """Drop messages from one host to the other, and back if both ways."""
         self.cuts.add((one, other))
         if both_ways:
             self.cuts.add((other, one))
 
     def isolate(self, address: str, both_ways: bool = True) -> None:
-        """Partition a host from all others."""
+        """Drop messages from a host to all others, and back if both ways."""
         for other in self.host_by_address:
             if other != address:
                 self.cut(address, other, both_ways)
@@ -211,7 +212,13 @@
             raise
 
     async def _go(self, address: str) -> Host:
-        """Return the host once a message reaches it; block while it is cut."""
+        """Wait until a message reaches a host, and return the host.
+
+        Blocks while messages to it are dropped, or if the source is dead.
+
+        Raises:
+            NotSentError: no live process is at the address.
+        """
         source = self._host()
         await source.awake.wait()
         await self._network.delay()
