--- a/libs/standins/src/bergamotsail/standins/_disk.py
+++ b/libs/standins/src/bergamotsail/standins/_disk.py
@@ -18,7 +18,7 @@
         fail_syncs: whether a sync fails and drops the unsynced data.
         full: whether appends fail.
         tear: whether a crash keeps part of the unsynced data.
-        dead: whether the process crashed; most operations then block.
+        dead: whether the process crashed; writes then block forever.
         read_s: seconds that a read takes.
         sync_s: seconds that a sync takes.
     """
