--- a/libs/standins/src/bergamotsail/standins/_engine.py
+++ b/libs/standins/src/bergamotsail/standins/_engine.py
@@ -11,7 +11,7 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-KEEP_FINISHED_S = 30.0
+FINISHED_STREAM_TTL_S = 30.0
 
 
 class WeightSource(abc.ABC):
@@ -62,11 +62,11 @@
         self.chunks: list[targets.Chunk] = []
         self.error: wire.ServingError | None = None
         self.finished = False
-        self.grown = asyncio.Event()
+        self.changed = asyncio.Event()
 
     def wake(self) -> None:
-        grown, self.grown = self.grown, asyncio.Event()
-        grown.set()
+        changed, self.changed = self.changed, asyncio.Event()
+        changed.set()
 
 
 class EngineStandIn:
@@ -97,15 +97,15 @@
         ] = collections.deque()
         self._task: asyncio.Task | None = None
         self._wake = asyncio.Event()
-        self._start_empty()
+        self._reset()
 
-    def _start_empty(self) -> None:
+    def _reset(self) -> None:
         self.incarnation = uuid.uuid4().hex[:8]
         self.residents: set[str] = set()
         self._loading: set[str] = set()
         self._sequence_by_stream: dict[str, _Sequence] = {}
         self._steps = 0
-        self._used = 0
+        self._slots_used = 0
         self._prefixes: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
@@ -122,7 +122,7 @@
     def restart(self) -> None:
         """Restart with no residents and no epoch; running streams fail."""
         lost = list(self._sequence_by_stream.values())
-        self._start_empty()
+        self._reset()
         self._highest_epoch = 0
         for sequence in lost:
             if not sequence.finished:
@@ -141,17 +141,17 @@
         If none is that old, the oldest one is returned.
         """
         now = asyncio.get_running_loop().time()
-        self._remember_report(now)
-        at, report = self._past_reports[0]
+        self._record_report(now)
+        reported_at, report = self._past_reports[0]
         while len(self._past_reports) > 1:
-            following_at, following = self._past_reports[1]
-            if now - following_at < self.settings.report_lag_s:
+            next_at, next_report = self._past_reports[1]
+            if now - next_at < self.settings.report_lag_s:
                 break
             self._past_reports.popleft()
-            at, report = following_at, following
-        return dataclasses.replace(report, age_s=now - at)
+            reported_at, report = next_at, next_report
+        return dataclasses.replace(report, age_s=now - reported_at)
 
-    def _remember_report(self, now: float) -> None:
+    def _record_report(self, now: float) -> None:
         active = self.active_by_resident()
         # Simulates prefix cache events that arrive late or are lost: the two
         # newest prefixes and one in eight are left out.
@@ -167,7 +167,7 @@
             self.leaving,
             0.0,
             self._steps,
-            self._used,
+            self._slots_used,
             prefixes,
         )
         self._past_reports.append((now, report))
@@ -231,7 +231,7 @@
         sequence = self._find_or_start(run)
         number = 0 if run.resume_after is None else run.resume_after + 1
         while True:
-            grown = sequence.grown
+            changed = sequence.changed
             while number < len(sequence.chunks):
                 yield sequence.chunks[number]
                 number += 1
@@ -239,7 +239,7 @@
                 raise sequence.error
             if sequence.finished:
                 return
-            await grown.wait()
+            await changed.wait()
 
     def _find_or_start(self, run: targets.Run) -> _Sequence:
         other = run.incarnation != self.incarnation
@@ -297,10 +297,10 @@
             running.sort(key=lambda s: (-s.run.priority, s.arrival))
             batch = running[: self.settings.batch_slots]
             self._steps += 1
-            self._used += len(batch)
+            self._slots_used += len(batch)
             for sequence in batch:
                 self._step(sequence)
-            self._remember_report(asyncio.get_running_loop().time())
+            self._record_report(asyncio.get_running_loop().time())
 
     def _step(self, sequence: _Sequence) -> None:
         run = sequence.run
@@ -322,7 +322,7 @@
         if end:
             loop = asyncio.get_running_loop()
             loop.call_later(
-                KEEP_FINISHED_S,
+                FINISHED_STREAM_TTL_S,
                 self._sequence_by_stream.pop,
                 run.stream_id,
                 None,
@@ -334,8 +334,8 @@
 
     It is a hash, so that text from a wrong adapter is detected.
     """
-    mixed = zlib.crc32(f"{adapter}|{prompt}|{number}".encode())
-    return f"{mixed:08x} "
+    checksum = zlib.crc32(f"{adapter}|{prompt}|{number}".encode())
+    return f"{checksum:08x} "
 
 
 def expected_text(adapter: str, prompt: str, max_tokens: int) -> str:
--- a/libs/standins/src/bergamotsail/standins/_http.py
+++ b/libs/standins/src/bergamotsail/standins/_http.py
@@ -23,13 +23,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _OrderBody:
+class _AdapterBody:
     lora_name: str
     lora_path: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _RunBody:
+class _CompletionBody:
     model: str
     max_tokens: int = 16
     stream: bool = True
@@ -64,16 +64,16 @@
         self.engine = engine
 
 
-class _Report(_EngineHandler):
+class _ReportHandler(_EngineHandler):
     def get(self) -> None:
         self.finish(wire.encode(self.engine.report()))
 
 
-class _Order(_EngineHandler):
-    async def post(self, what: str) -> None:
-        body = wire.decode(self.request.body, _OrderBody)
+class _AdapterHandler(_EngineHandler):
+    async def post(self, command: str) -> None:
+        body = wire.decode(self.request.body, _AdapterBody)
         try:
-            if what == "load_lora_adapter":
+            if command == "load_lora_adapter":
                 await self.engine.load(
                     self.epoch(), body.lora_name, body.lora_path
                 )
@@ -83,7 +83,7 @@
             self.send_error_body(error)
 
 
-class _Cancel(_EngineHandler):
+class _CancelHandler(_EngineHandler):
     async def post(self, stream_id: str) -> None:
         try:
             await self.engine.cancel(self.epoch(), stream_id)
@@ -91,14 +91,14 @@
             self.send_error_body(error)
 
 
-class _Run(_EngineHandler):
+class _CompletionHandler(_EngineHandler):
     _closed = False
 
     def on_connection_close(self) -> None:
         self._closed = True
 
     async def post(self) -> None:
-        body = wire.decode(self.request.body, _RunBody)
+        body = wire.decode(self.request.body, _CompletionBody)
         headers = self.request.headers
         resume = headers.get("X-Resume-After")
         run = targets.Run(
@@ -151,7 +151,7 @@
     return b"data: " + wire.encode(event) + b"\n\n"
 
 
-class _EngineControl(_EngineHandler):
+class _EngineControlHandler(_EngineHandler):
     def get(self) -> None:
         engine = self.engine
         self.finish(
@@ -185,16 +185,20 @@
     args = {"engine": engine}
     return web.Application(
         [
-            (r"/report", _Report, args),
-            (r"/v1/(load_lora_adapter|unload_lora_adapter)", _Order, args),
-            (r"/v1/(?:chat/)?completions", _Run, args),
-            (r"/v1/streams/([^/]+)/cancel", _Cancel, args),
-            (r"/standin", _EngineControl, args),
+            (r"/report", _ReportHandler, args),
+            (
+                r"/v1/(load_lora_adapter|unload_lora_adapter)",
+                _AdapterHandler,
+                args,
+            ),
+            (r"/v1/(?:chat/)?completions", _CompletionHandler, args),
+            (r"/v1/streams/([^/]+)/cancel", _CancelHandler, args),
+            (r"/standin", _EngineControlHandler, args),
         ]
     )
 
 
-class _Fetch(_Handler):
+class _FetchHandler(_Handler):
     def initialize(self, store: _others.WeightStoreStandIn) -> None:
         self.store = store
 
@@ -207,7 +211,7 @@
 
 def store_application(store: _others.WeightStoreStandIn) -> web.Application:
     """Return the web application that serves a weight store stand-in."""
-    return web.Application([(r"/fetch", _Fetch, {"store": store})])
+    return web.Application([(r"/fetch", _FetchHandler, {"store": store})])
 
 
 class HttpWeightStore(_engine.WeightSource):
@@ -228,7 +232,7 @@
             )
 
 
-class _AnyCall(_Handler):
+class _ServiceHandler(_Handler):
     def initialize(self, service: _others.ServiceStandIn) -> None:
         self.service = service
 
@@ -250,10 +254,10 @@
 
 def service_application(service: _others.ServiceStandIn) -> web.Application:
     """Return the web application that serves a service stand-in."""
-    return web.Application([(r".*", _AnyCall, {"service": service})])
+    return web.Application([(r".*", _ServiceHandler, {"service": service})])
 
 
-class _List(_Handler):
+class _InstanceListHandler(_Handler):
     def initialize(self, instances: _others.InstanceListStandIn) -> None:
         self.instances = instances
 
@@ -272,4 +276,6 @@
     instances: _others.InstanceListStandIn,
 ) -> web.Application:
     """Return the web application that serves an instance list stand-in."""
-    return web.Application([(r"/instances", _List, {"instances": instances})])
+    return web.Application(
+        [(r"/instances", _InstanceListHandler, {"instances": instances})]
+    )
--- a/libs/standins/src/bergamotsail/standins/_memory.py
+++ b/libs/standins/src/bergamotsail/standins/_memory.py
@@ -37,11 +37,11 @@
         self.held = asyncio.Event()
         self.held.set()
 
-    async def hold(self) -> None:
+    async def wait_unfrozen(self) -> None:
         """Block while the sender is frozen."""
         await self.held.wait()
 
-    async def go(self) -> None:
+    async def deliver_call(self) -> None:
         """Simulate sending a call to the target.
 
         Raises:
@@ -51,14 +51,14 @@
         if self.cut:
             raise wire.NotSentError("The link is cut.")
 
-    async def back(self) -> None:
+    async def deliver_reply(self) -> None:
         """Simulate returning a reply to the caller.
 
         Raises:
             PeerLostError: the reply was lost.
         """
         await asyncio.sleep(self.delay_s)
-        await self.hold()
+        await self.wait_unfrozen()
         if self.cut or self.lose_replies:
             raise wire.PeerLostError("The reply was lost.")
 
@@ -71,9 +71,9 @@
         self._link = link
 
     async def report(self) -> targets.EngineReport:
-        await self._link.go()
+        await self._link.deliver_call()
         report = self._engine.report()
-        await self._link.back()
+        await self._link.deliver_reply()
         return report
 
     async def load(
@@ -81,17 +81,17 @@
     ) -> None:
         await self._send(order)
         await self._engine.load(order.epoch, adapter, weights)
-        await self._link.back()
+        await self._link.deliver_reply()
 
     async def unload(self, order: targets.Order, adapter: str) -> None:
         await self._send(order)
         await self._engine.unload(order.epoch, adapter)
-        await self._link.back()
+        await self._link.deliver_reply()
 
     async def cancel(self, order: targets.Order, stream_id: str) -> None:
         await self._send(order)
         await self._engine.cancel(order.epoch, stream_id)
-        await self._link.back()
+        await self._link.deliver_reply()
 
     async def run(
         self, order: targets.Order, run: targets.Run
@@ -100,11 +100,11 @@
         chunks = self._engine.run(order.epoch, run)
         async with contextlib.aclosing(chunks):
             async for chunk in chunks:
-                await self._link.back()
-                for arrived in self._arrivals(chunk):
-                    yield arrived
+                await self._link.deliver_reply()
+                for received in self._received_chunks(chunk):
+                    yield received
 
-    def _arrivals(
+    def _received_chunks(
         self, chunk: targets.Chunk
     ) -> collections.abc.Iterator[targets.Chunk]:
         """Yield the chunks that arrive for one that was sent."""
@@ -116,12 +116,12 @@
             yield dataclasses.replace(chunk, stream_id="other", text="? ")
 
     async def _send(self, order: targets.Order) -> None:
-        await self._link.hold()
+        await self._link.wait_unfrozen()
         if not order.gate():
             raise wire.NotSentError(
                 "The lease ended before the order was sent."
             )
-        await self._link.go()
+        await self._link.deliver_call()
 
 
 class MemoryService(targets.Service):
@@ -134,12 +134,12 @@
     async def call(
         self, request: targets.ServiceRequest
     ) -> targets.ServiceReply:
-        await self._link.hold()
+        await self._link.wait_unfrozen()
         if not request.gate():
             raise wire.NotSentError(
                 "The lease ended before the call was sent."
             )
-        await self._link.go()
+        await self._link.deliver_call()
         try:
             async with asyncio.timeout(request.timeout_s):
                 reply = await self._service.call(
@@ -150,7 +150,7 @@
                 )
         except TimeoutError:
             raise wire.PeerSilentError("The service did not answer.") from None
-        await self._link.back()
+        await self._link.deliver_reply()
         return reply
 
 
@@ -164,7 +164,7 @@
         self._link = link
 
     async def read(self) -> tuple[targets.Instance, ...]:
-        await self._link.go()
+        await self._link.deliver_call()
         listed = self._instances.read()
-        await self._link.back()
+        await self._link.deliver_reply()
         return listed
--- a/libs/standins/src/bergamotsail/standins/_network.py
+++ b/libs/standins/src/bergamotsail/standins/_network.py
@@ -12,7 +12,7 @@
 
 DELAY_S = 0.0005
 # Concurrent replies on a slow link take turns in units of this size.
-TURN_BYTES = 8_192
+BURST_BYTES = 8_192
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -55,7 +55,7 @@
         self.stalled: set[str] = set()
         self._link_by_address: dict[str, asyncio.Lock] = {}
 
-    async def carry(self, address: str, size: int) -> None:
+    async def transfer(self, address: str, size: int) -> None:
         """Wait for the transfer time of a reply to its receiver.
 
         A link without a bandwidth limit takes no time. On a limited link a
@@ -66,11 +66,11 @@
             return
         link = self._link_by_address.setdefault(address, asyncio.Lock())
         while size > 0:
-            turn = min(size, TURN_BYTES)
-            size -= turn
+            burst = min(size, BURST_BYTES)
+            size -= burst
             async with link:
-                self.received[address] += turn
-                await asyncio.sleep(turn / rate)
+                self.received[address] += burst
+                await asyncio.sleep(burst / rate)
             if address in self.stalled:
                 await asyncio.Event().wait()
 
@@ -133,33 +133,35 @@
         message: typing.Any,
         timeout_s: float,
     ) -> typing.Any:
-        work: asyncio.Task | None = None
+        handler_task: asyncio.Task | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                target = await self._go(address)
+                target = await self._reach_host(address)
                 if self._network.rng.random() < self._network.duplicate:
                     self._deliver(target, call, message)
-                work = self._deliver(target, call, message)
-                reply = await asyncio.shield(work)
-                await self._back(address, target)
+                handler_task = self._deliver(target, call, message)
+                reply = await asyncio.shield(handler_task)
+                await self._return_reply(address, target)
                 data = wire.encode(reply)
-                await self._network.carry(self._address, len(data))
+                await self._network.transfer(self._address, len(data))
                 return wire.decode(data, call.reply)
         except TimeoutError:
-            raise _lost(address, work is not None) from None
+            raise _timeout_error(address, handler_task is not None) from None
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
                 raise
             raise wire.PeerLostError(f"{address} was lost.") from None
         finally:
-            if work is not None and not work.done():
-                _spawn(target, self._hang_up(address, work))
+            if handler_task is not None and not handler_task.done():
+                _spawn(target, self._cancel_handler(address, handler_task))
 
-    async def _hang_up(self, address: str, work: asyncio.Task) -> None:
+    async def _cancel_handler(
+        self, address: str, handler_task: asyncio.Task
+    ) -> None:
         """Cancel a handler whose caller disconnected, as a server does."""
         await self._network.delay()
         if not self._network.is_cut(self._address, address):
-            work.cancel()
+            handler_task.cancel()
 
     async def stream(
         self,
@@ -170,26 +172,28 @@
     ) -> collections.abc.AsyncIterator[typing.Any]:
         try:
             async with asyncio.timeout(min(timeout_s, 1.0)):
-                target = await self._go(address)
+                target = await self._reach_host(address)
         except TimeoutError:
-            raise _lost(address, False) from None
+            raise _timeout_error(address, False) from None
         replies: asyncio.Queue = asyncio.Queue()
-        work = _spawn(target, self._feed(target, call, message, replies))
+        handler_task = _spawn(
+            target, self._run_stream_handler(target, call, message, replies)
+        )
         try:
             while True:
                 reply = await replies.get()
-                await self._back(address, target)
+                await self._return_reply(address, target)
                 if isinstance(reply, wire.ServingError):
                     raise wire.error_from_body(reply.body())
                 if reply is None:
                     return
                 data = wire.encode(reply)
-                await self._network.carry(self._address, len(data))
+                await self._network.transfer(self._address, len(data))
                 yield wire.decode(data, call.reply)
         finally:
-            work.cancel()
+            handler_task.cancel()
 
-    async def _feed(
+    async def _run_stream_handler(
         self,
         target: Host,
         call: wire.Call,
@@ -211,7 +215,7 @@
             replies.put_nowait(wire.PeerLostError("The peer was lost."))
             raise
 
-    async def _go(self, address: str) -> Host:
+    async def _reach_host(self, address: str) -> Host:
         """Wait until a message reaches a host, and return the host.
 
         Blocks while messages to it are dropped, or if the source is dead.
@@ -231,7 +235,7 @@
             raise wire.NotSentError(f"Nothing listens at {address}.")
         return target
 
-    async def _back(self, address: str, target: Host) -> None:
+    async def _return_reply(self, address: str, target: Host) -> None:
         await self._network.delay()
         if target.dead:
             raise wire.PeerLostError(f"{address} was lost.")
@@ -253,15 +257,15 @@
         return _spawn(target, handle())
 
 
-def _spawn(host: Host, work: collections.abc.Coroutine) -> asyncio.Task:
-    task = asyncio.create_task(work)
+def _spawn(host: Host, coroutine: collections.abc.Coroutine) -> asyncio.Task:
+    task = asyncio.create_task(coroutine)
     host.tasks.add(task)
     task.add_done_callback(host.tasks.discard)
     task.add_done_callback(lambda done: done.cancelled() or done.exception())
     return task
 
 
-def _lost(address: str, sent: bool) -> wire.ServingError:
+def _timeout_error(address: str, sent: bool) -> wire.ServingError:
     if sent:
         return wire.PeerLostError(f"No reply from {address}.")
     return wire.NotSentError(f"{address} can't be reached.")
--- a/libs/standins/src/bergamotsail/standins/_others.py
+++ b/libs/standins/src/bergamotsail/standins/_others.py
@@ -8,7 +8,7 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-SLICE_S = 0.005
+TIME_SLICE_S = 0.005
 
 
 class WeightStoreStandIn(_engine.WeightSource):
@@ -31,7 +31,9 @@
         left_s = self.load_s
         try:
             while left_s > 1e-9:
-                slice_s = min(SLICE_S * self._active, left_s * self._active)
+                slice_s = min(
+                    TIME_SLICE_S * self._active, left_s * self._active
+                )
                 share = slice_s / self._active
                 await asyncio.sleep(slice_s)
                 left_s -= share
