--- a/libs/bench/src/bergamotsail/bench/_virtual.py
+++ b/libs/bench/src/bergamotsail/bench/_virtual.py
@@ -1,7 +1,7 @@
 """A deployment in one process and virtual time, with the real daemons.
 
-Only disks, the network between daemons and the targets are stand-ins, at
-the product's own interfaces.
+Only the disks, the network between daemons, the instance list and the
+targets are replaced by fakes, which implement the interfaces of the product.
 """
 
 import asyncio
@@ -26,11 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """Sizes of a deployment.
+    """Size, timing and extra settings of a deployment.
 
     Args:
-        load_s: seconds for one load, one at a time.
-        daemon: settings added to every daemon's.
+        load_s: seconds for one load when it is the only one.
+        daemon: settings that extend or override those of each daemon.
+        seed: seed of the network, the disks and the daemons.
     """
 
     members: tuple[str, ...]
@@ -45,7 +46,7 @@
 
 
 class Deployment:
-    """Daemons and engines; an async context manager."""
+    """Daemons and engines of a deployment; an async context manager."""
 
     def __init__(self, settings: DeploymentSettings) -> None:
         self.settings = settings
@@ -79,11 +80,11 @@
         await self._stack.aclose()
 
     def daemon(self, number: int) -> daemon_lib.Daemon:
-        """Return a daemon by number."""
+        """Return a running daemon by its position."""
         return list(self.daemon_by_address.values())[number]
 
     def publish(self) -> None:
-        """Set the instance list."""
+        """Publish all engines in the instance list."""
         centres = self.settings.datacentres
         listed = []
         for number, address in enumerate(self.engine_by_address):
@@ -133,14 +134,14 @@
         self._stack.push_async_callback(self.lose, address)
 
     async def lose(self, address: str) -> None:
-        """End a daemon without warning."""
+        """Kill a daemon without a graceful shutdown."""
         daemon = self.daemon_by_address.pop(address, None)
         if daemon is not None:
             self.network.kill(address)
             await daemon.__aexit__(None, None, None)
 
     async def stop(self, address: str) -> None:
-        """End a daemon as planned."""
+        """Shut a daemon down gracefully."""
         await self.daemon_by_address[address].stop()
         await self.lose(address)
 
@@ -188,11 +189,11 @@
             await asyncio.sleep(POLL_S)
 
     def reset_metrics(self) -> None:
-        """Forget all metrics, as after a warm-up."""
+        """Reset the metrics of all daemons, to exclude a warm-up."""
         for daemon in self.daemon_by_address.values():
             daemon.metrics.reset()
 
     def metrics(self) -> observe.MetricsSnapshot:
-        """Return the metrics of all daemons, merged."""
+        """Return the merged metrics of all running daemons."""
         daemons = self.daemon_by_address.values()
         return observe.merge([d.metrics.snapshot() for d in daemons])
