--- a/libs/bench/src/bergamotsail/bench/_workloads.py
+++ b/libs/bench/src/bergamotsail/bench/_workloads.py
@@ -1,4 +1,4 @@
-"""Traces of requests, drawn from seeded settings, and their limits."""
+"""Seeded request traces, and a lower bound on the loads they need."""
 
 import collections.abc
 import dataclasses
@@ -10,7 +10,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request of the trace."""
+    """A request of a trace.
+
+    Args:
+        at: seconds since the start of the trace.
+        adapter: number of the adapter.
+        tokens: tokens to generate.
+    """
 
     at: float
     adapter: int
@@ -19,12 +25,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """One of the two deployments.
+    """Size and load of one of the two benchmarked deployments.
 
     Args:
-        rate: requests a second.
-        client_s: one way between clients and daemons.
-        stall_weight: how its member weighs stalls against batches.
+        load_s: seconds for one load when it is the only one.
+        rate: requests per second.
+        client_s: one-way latency between clients and daemons, in seconds.
+        stall_weight: weight of load stalls against batch efficiency in
+            placement.
+        skew: exponent of the Zipf distribution of adapter popularity.
     """
 
     name: str
@@ -65,7 +74,7 @@
 def trace(
     shape: Shape, event: str, seconds: float, seed: int
 ) -> list[Arrival]:
-    """Return the arrivals of a workload, in order of time."""
+    """Return the arrivals of a workload, ordered by time."""
     rng = random.Random(f"{shape.name}/{event}/{seed}")
     arrivals = list(_skewed(shape, event, seconds, rng))
     if event == "flood":
@@ -96,7 +105,11 @@
 def _flood(
     shape: Shape, seconds: float, rng: random.Random
 ) -> collections.abc.Iterator[Arrival]:
-    """Cold adapters of one member, one after another."""
+    """Yield requests for uniformly drawn adapters of the second member.
+
+    Most of these adapters are not resident. The flood takes the middle
+    third of the trace.
+    """
     at = seconds / 3
     while at < seconds * 2 / 3:
         at += rng.expovariate(FLOOD_RATE)
@@ -111,10 +124,11 @@
 def fewest_loads(
     arrivals: collections.abc.Sequence[Arrival], slots: int, warm_until: float
 ) -> int:
-    """Return Belady's bound: loads after the warm-up, with all slots in one.
+    """Return the loads of Belady's optimal eviction after the warm-up.
 
-    What is used again latest is evicted first. No policy that serves each
-    request in order can do with fewer.
+    The slots of all engines are treated as one cache, and the adapter whose
+    next use is furthest in the future is evicted. This is a lower bound for
+    every policy that serves the requests in order.
     """
     later: list[float] = [0.0] * len(arrivals)
     next_at: dict[int, float] = {}
