--- a/libs/bench/src/bergamotsail/bench/_client.py
+++ b/libs/bench/src/bergamotsail/bench/_client.py
@@ -1,4 +1,4 @@
-"""A caller as members run it: looks up, keeps the answer, connects."""
+"""A reference client: looks up addresses, caches them and connects."""
 
 import asyncio
 import dataclasses
@@ -11,12 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What a request came to.
+    """Outcome of a request.
 
     Args:
-        code: the error's code, "" for a whole answer.
-        ran: as the error said.
+        model: model that the last chunk names.
+        code: error code, "" for a complete answer.
+        ran: whether the work ran, as the error states it.
         first_s: seconds to the first token.
+        total_s: seconds to the end of the stream.
+        last_event: id of the last server-sent event.
+        replayed: whether the reply is the stored one of an earlier call.
     """
 
     text: str = ""
@@ -32,10 +36,10 @@
 
 
 class Client:
-    """A caller of one member.
+    """A client with the token of one member.
 
     Args:
-        addresses: instances to ask first.
+        addresses: daemons to ask for the addresses of models and services.
     """
 
     def __init__(
@@ -47,7 +51,11 @@
         self._kept_by_name: dict[tuple[str, str], tuple[float, list[str]]] = {}
 
     async def where(self, kind: str, name: str) -> list[str]:
-        """Return addresses for a model or service, from the kept answer."""
+        """Return addresses for a model or service, from the cache if fresh.
+
+        If no daemon answers, returns the expired answer, or else the
+        configured addresses.
+        """
         now = time.monotonic()
         until, kept = self._kept_by_name.get((kind, name), (0.0, []))
         if now < until and kept:
@@ -72,7 +80,7 @@
         return kept or self._addresses
 
     def forget(self) -> None:
-        """Drop all kept answers."""
+        """Clear the address cache."""
         self._kept_by_name.clear()
 
     def _headers(self, **more: str) -> dict[str, str]:
@@ -87,10 +95,10 @@
         headers: dict[str, str] | None = None,
         address: str | None = None,
     ) -> Result:
-        """Ask a model and read its streamed answer.
+        """Request a completion and read the streamed answer.
 
-        A refusal that says *not run*, or a connection that never stood, is
-        tried at the next address until the deadline.
+        The error codes ``cut_off``, ``stopping`` and ``not_sent`` are retried
+        at the next address until the deadline. Other outcomes are returned.
         """
         started = time.monotonic()
         result = Result(code="unreachable", ran="not_run")
@@ -117,7 +125,7 @@
         deadline_s: float,
         headers: dict[str, str] | None,
     ) -> Result:
-        """Ask a model at this address, once."""
+        """Request a completion from one address, without retries."""
         body = {
             "model": model,
             "prompt": prompt,
@@ -151,7 +159,7 @@
         address: str | None = None,
         headers: dict[str, str] | None = None,
     ) -> Result:
-        """Call a service, once, at the first address."""
+        """Call a service at its first address, without retries."""
         addresses = (
             [address] if address else await self.where("service", service)
         )
