--- a/libs/bench/src/bergamotsail/bench/__init__.py
+++ b/libs/bench/src/bergamotsail/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Tools to try the product and to measure it."""
+"""Tools that run the product on loopback and benchmark it."""
 
 from bergamotsail.bench import _client
 from bergamotsail.bench import _system
