--- a/libs/bench/src/bergamotsail/bench/demo.py
+++ b/libs/bench/src/bergamotsail/bench/demo.py
@@ -1,4 +1,4 @@
-"""Start a small deployment, load it, and report."""
+"""Run a small deployment under load and report its metrics."""
 
 import asyncio
 import collections
@@ -18,9 +18,11 @@
 from bergamotsail import standins
 from bergamotsail import wire
 
-_SECONDS = flags.DEFINE_float("seconds", 20.0, "Seconds of load.")
+_SECONDS = flags.DEFINE_float(
+    "seconds", 20.0, "Duration of the load in seconds."
+)
 _REQUESTS = flags.DEFINE_integer("requests", 300, "Model requests to send.")
-_ADAPTERS = flags.DEFINE_integer("adapters", 60, "Adapters in all.")
+_ADAPTERS = flags.DEFINE_integer("adapters", 60, "Total number of adapters.")
 
 MEMBERS = ("tahi", "lakeshore")
 SKEW = 1.1
@@ -30,7 +32,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What came of the load."""
+    """Counts of request outcomes.
+
+    Args:
+        wrong_adapter: answers with the text of another adapter or version.
+        lost: failures after which it is unknown whether the work ran.
+        keys: idempotency keys of all service calls.
+        answered_keys: idempotency keys of the answered service calls.
+    """
 
     requests: int = 0
     answered: int = 0
@@ -75,7 +84,7 @@
 
 
 class Load:
-    """A skewed load of two members, models and service calls."""
+    """Load of two members: model requests with Zipf skew, service calls."""
 
     def __init__(
         self, system: bench.System, http: wire.HttpClient, adapters: int
@@ -89,7 +98,7 @@
         }
 
     async def run(self, seconds: float, requests: int) -> None:
-        """Send all at even distances and wait for the answers."""
+        """Send requests at a constant rate and wait for all answers."""
         weights = [1 / (rank + 1) ** SKEW for rank in range(self._adapters)]
         tasks = []
         started = time.monotonic()
@@ -141,7 +150,7 @@
 async def count_runs(
     system: bench.System, http: wire.HttpClient
 ) -> collections.Counter:
-    """Return how often each idempotency key ran, over all services."""
+    """Return the executions per idempotency key, over all services."""
     total: collections.Counter = collections.Counter()
     for name in system.services:
         address = system.by_name[name].address
@@ -154,7 +163,7 @@
 async def read_metrics(
     system: bench.System, http: wire.HttpClient
 ) -> observe.MetricsSnapshot:
-    """Return the metrics of all daemons, merged."""
+    """Return the merged metrics of all daemons."""
     snapshots = []
     for name in system.daemons:
         answer = await system.admin(
@@ -169,7 +178,7 @@
 async def batch_efficiency(
     system: bench.System, http: wire.HttpClient
 ) -> float:
-    """Return used slots over slots, over all engine steps made."""
+    """Return used batch slots as a fraction of all, over all engine steps."""
     used = 0
     slots = 0
     for name in system.engines:
@@ -182,7 +191,7 @@
 
 
 def load_stalls_ms(snapshot: observe.MetricsSnapshot) -> dict[str, float]:
-    """Return the load stall of all members and classes together."""
+    """Return load stall percentiles over all members and entry classes."""
     stalls = [
         observe.MetricsSnapshot({"load_stall": encoded}, {})
         for name, encoded in snapshot.histogram_by_name.items()
@@ -193,7 +202,7 @@
 
 
 def print_report(shown: dict[str, dict[str, float]]) -> None:
-    """Print what the daemons measured, merged over all of them."""
+    """Print a table of the merged metrics."""
     print(f"{'measure':62} {'count':>6} {'p50 ms':>8} {'p99 ms':>8}")
     for name, values in shown.items():
         p50 = values.get("p50_ms", "")
@@ -205,7 +214,7 @@
     """Run the demonstration and return its figures."""
     settings = bench.SystemSettings(engine={"adapter_slots": 8})
     with bench.System(settings) as system, wire.HttpClient() as http:
-        print(f"Starting {len(settings.datacentres)} data centres in small.")
+        print(f"Starting {len(settings.datacentres)} simulated data centres.")
         await system.start(http)
         print("Creating catalogue entries.")
         await create_entries(system, http, _ADAPTERS.value)
