--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -1,4 +1,7 @@
-"""Measure policies on seeded workloads, in virtual time."""
+"""Benchmark routing and placement policies in virtual time.
+
+The workloads are seeded, so that a run is reproducible.
+"""
 
 import asyncio
 import collections
@@ -22,12 +25,16 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-_QUICK = flags.DEFINE_bool("quick", False, "Steady workloads only, shorter.")
-_JOBS = flags.DEFINE_integer("jobs", 7, "Processes.")
-_SEED = flags.DEFINE_integer("seed", 1, "Seed of the workloads.")
+_QUICK = flags.DEFINE_bool(
+    "quick", False, "Run only the steady workloads, for at most 45 s."
+)
+_JOBS = flags.DEFINE_integer("jobs", 7, "Number of worker processes.")
+_SEED = flags.DEFINE_integer("seed", 1, "Seed of workloads and deployments.")
 _SECONDS = flags.DEFINE_float("seconds", 75.0, "Virtual seconds of load.")
-_PLOT = flags.DEFINE_string("plot", "build/bench.svg", "Where to plot.")
-_EVENTS = flags.DEFINE_list("events", None, "Only these workloads.")
+_PLOT = flags.DEFINE_string("plot", "build/bench.svg", "Path of the SVG plot.")
+_EVENTS = flags.DEFINE_list(
+    "events", None, "Workload events to run; default: all."
+)
 
 WARM_PART = 1 / 3
 DEADLINE_S = 30.0
@@ -36,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """A way to route and place, by its settings."""
+    """A pair of routing and placement settings to compare."""
 
     name: str
     routing: str
@@ -52,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """One run: a deployment, a workload, a policy and a weight."""
+    """One benchmark run."""
 
     shape: _workloads.Shape
     event: str
@@ -64,7 +71,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Measured:
-    """What each request came to, by member."""
+    """Request outcomes after the warm-up.
+
+    Args:
+        first_s: seconds to the first token, by member.
+        refused: failed requests by error code.
+        by_second: seconds to the first token, by second of arrival.
+    """
 
     first_s: dict[str, list[float]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
@@ -80,7 +93,7 @@
 
 
 def percentile(values: list[float], part: float) -> float:
-    """Return a percentile of values, 0 when there are none."""
+    """Return the value at a rank from 0 to 1, or 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -132,7 +145,7 @@
 async def _events(
     deployment: _virtual.Deployment, event: str, seconds: float
 ) -> None:
-    """Make the workload's event happen half-way."""
+    """Inject the fault or change of an event half-way through a run."""
     await asyncio.sleep(seconds / 2)
     engines = list(deployment.engine_by_address.values())
     addresses = list(deployment.daemon_by_address)
@@ -207,7 +220,7 @@
 def _engine_counts(
     deployment: _virtual.Deployment,
 ) -> tuple[int, int, int]:
-    """Return loads, steps and used slots over all engines."""
+    """Return the loads, steps and used batch slots of all engines."""
     reports = [e.report() for e in deployment.engine_by_address.values()]
     return (
         sum(e.loads for e in deployment.engine_by_address.values()),
@@ -274,7 +287,10 @@
 
 
 def _load_stalls(snapshot: observe.MetricsSnapshot) -> dict[str, float]:
-    """Return the load stalls over all members and classes."""
+    """Return load stall statistics over all members and entry classes.
+
+    Times are in milliseconds. Values of 1 us count as no stall.
+    """
     total = histogram.HdrHistogram(1, 3_600_000_000, 2)
     for name, encoded in snapshot.histogram_by_name.items():
         if name.startswith("load_stall"):
@@ -291,7 +307,7 @@
 
 
 def run_task(task: Task) -> dict[str, object]:
-    """Run one task on a virtual-time loop of its own."""
+    """Run one task on a new event loop with virtual time."""
     logging.set_verbosity(logging.FATAL)
     loop = looptime.new_event_loop()
     asyncio.set_event_loop(loop)
@@ -316,7 +332,8 @@
         for policy in POLICIES
     ]
     for shape in _workloads.SHAPES if not _QUICK.value else ():
-        # The other member's weight on this member's steady workload.
+        # The steady workload with the complementary stall weight, which is
+        # the one of the other deployment.
         other = 1.0 - shape.stall_weight
         ours = Policy("ours_other_weight", "residency", "value")
         if "steady" in events:
@@ -327,7 +344,7 @@
 
 
 def _ratio(by_policy: dict[str, dict]) -> dict[str, float]:
-    """Return ours against the best baseline and the limit."""
+    """Return ratios of our policy to the best baseline and to Belady."""
     ours = by_policy["ours"]
     stalls = [by_policy[b]["load_stall_ms"]["p99"] for b in BASELINES]
     batches = [by_policy[b]["batch_efficiency"] for b in BASELINES]
@@ -379,7 +396,7 @@
 
 
 def _plot(by_workload: dict[str, dict[str, dict]], path: str) -> None:
-    # Slow to import, and needed for the plot alone.
+    # Imported here because it loads slowly and only the plot needs it.
     import matplotlib
 
     matplotlib.use("svg")
