--- a/libs/bench/src/bergamotsail/bench/capacity.py
+++ b/libs/bench/src/bergamotsail/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from."""
+"""Measure the unit costs that docs/CAPACITY.md is calculated from."""
 
 import asyncio
 import collections.abc
@@ -24,7 +24,9 @@
 from bergamotsail import wire
 
 _DAEMONS = flags.DEFINE_list(
-    "daemons", ["6", "20", "60"], "Numbers of daemons for the change test."
+    "daemons",
+    ["6", "20", "60"],
+    "Fleet sizes, in daemons, for the change propagation test.",
 )
 
 ENTRIES = 41_000
@@ -38,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slope:
-    """A measured figure."""
+    """A measured unit cost."""
 
     name: str
     value: float
@@ -51,7 +53,7 @@
 
 
 def _process_cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process used so far."""
+    """Return the CPU seconds (user and system) used by a process."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
@@ -96,7 +98,7 @@
 
 
 def measure_catalogue() -> collections.abc.Iterator[Slope]:
-    """Memory of entries, and the cost of a change."""
+    """Measure memory, snapshot size and CPU per entry and per change."""
     tracemalloc.start()
     machine = _filled_machine(ENTRIES)
     gc.collect()
@@ -130,7 +132,7 @@
 
 
 def measure_heartbeat() -> collections.abc.Iterator[Slope]:
-    """Bytes of a heartbeat and its reply, and their coding."""
+    """Measure the size of target digests and the CPU cost of a delta."""
     status = control.TargetStatus(
         "runner-100",
         123456,
@@ -171,7 +173,7 @@
 
 
 async def measure_log() -> list[Slope]:
-    """Append and sync, restart by replay and by snapshot."""
+    """Measure append and sync, log size, and restart by replay."""
     slopes = []
     with tempfile.TemporaryDirectory() as folder:
         storage = quorum.Storage(quorum.FolderDisk(folder))
@@ -217,7 +219,11 @@
 
 
 async def measure_snapshot() -> list[Slope]:
-    """Own snapshots against shipped ones, at the size to come."""
+    """Measure writing and restoring a snapshot of ``ENTRIES`` entries.
+
+    Also returns its size, which a leader would send to each follower if
+    followers did not take their own snapshots.
+    """
     slopes = []
     machine = _filled_machine(ENTRIES)
     meta = quorum.SnapshotMeta(ENTRIES, 1, quorum.Config())
@@ -241,7 +247,7 @@
 async def _cpu_of(
     system: bench.System, work: collections.abc.Awaitable
 ) -> tuple[dict[str, float], float]:
-    """Return processor seconds by daemon while *work* runs, and seconds."""
+    """Return CPU seconds by daemon while *work* runs, and elapsed seconds."""
     pids = {n: system.by_name[n].popen.pid for n in system.daemons}
     before = {name: _process_cpu_s(pid) for name, pid in pids.items()}
     started = time.perf_counter()
@@ -252,7 +258,11 @@
 
 
 async def measure_processes() -> list[Slope]:
-    """Idle cost, cost of requests and tokens, claims, take-over."""
+    """Measure daemons as processes.
+
+    Covers idle CPU and memory, CPU per request and token, latency of service
+    calls, takeover of a target, and leader election.
+    """
     slopes = []
     settings = bench.SystemSettings(
         daemons=6, engines=3, engine={"step_s": 0.005, "batch_slots": 32}
@@ -288,7 +298,11 @@
 async def _measure_tokens(
     system: bench.System, http: wire.HttpClient
 ) -> list[Slope]:
-    """Processor time per token, at the owner and through another daemon."""
+    """Measure CPU time per request and token, with one hop and with two.
+
+    One hop is a request at the daemon that owns the target; two hops are a
+    request forwarded by another daemon.
+    """
     client = bench.Client(http, system.addresses, "tahi-token")
     warm = await client.complete("adapter-0", "warm", 2)
     target = warm.last_event.partition("~")[0]
@@ -332,7 +346,10 @@
 async def _measure_claims(
     system: bench.System, http: wire.HttpClient
 ) -> list[Slope]:
-    """Latency of calls that may and that may not be repeated."""
+    """Measure the latency of idempotent and of non-idempotent calls.
+
+    Non-idempotent calls claim their key in the replicated log first.
+    """
     client = bench.Client(http, system.addresses, "tahi-token")
     slopes = []
     for path, what in (("/slots", "repeatable"), ("/pickups", "claimed")):
@@ -352,13 +369,13 @@
 async def _measure_takeover(
     system: bench.System, http: wire.HttpClient
 ) -> list[Slope]:
-    """Time until the engine of a killed owner has another owner."""
+    """Measure the time until the target of a killed owner has a new one."""
     status = await system.admin(http, "GET", "/admin/v1/status")
     owner_by_target = {
         t["info"]["id"]: (t["owner"] or "").partition("#")[0]
         for t in status["targets"]
     }
-    # Not the leader, so that only the owner's loss is measured.
+    # The owner must not be the leader: the time would include an election.
     leader = _leader_of(system, status)
     target, owner = next(
         (target, owner)
@@ -382,7 +399,7 @@
 
 
 def _leader_of(system: bench.System, status: dict) -> str:
-    """Return the name of the leading daemon."""
+    """Return the name of the leader."""
     return next(
         name
         for name in system.daemons
@@ -393,7 +410,7 @@
 async def _measure_election(
     system: bench.System, http: wire.HttpClient
 ) -> list[Slope]:
-    """Time without a leader after the leader's kill."""
+    """Measure the time from the leader's kill to the next accepted change."""
     status = await system.admin(
         http, "GET", "/admin/v1/status", name=system.daemons[-1]
     )
@@ -416,7 +433,7 @@
 
 
 async def measure_changes(daemons: int) -> list[Slope]:
-    """Time for a change to be in force everywhere, and the leader's cost."""
+    """Measure change propagation to all daemons, and the leader's idle CPU."""
     settings = bench.SystemSettings(daemons=daemons, engines=1, services=1)
     with bench.System(settings) as system, wire.HttpClient() as http:
         await system.start(http)
