--- a/libs/bench/src/bergamotsail/bench/_system.py
+++ b/libs/bench/src/bergamotsail/bench/_system.py
@@ -1,4 +1,4 @@
-"""A whole system as processes on loopback, with its stand-ins."""
+"""A complete deployment on loopback, with daemons and fakes as processes."""
 
 import asyncio
 import collections.abc
@@ -24,10 +24,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SystemSettings:
-    """Sizes of a system.
+    """Size, timing and extra settings of a system.
 
     Args:
-        daemon: settings added to every daemon's.
+        replicas: how many of the daemons hold the replicated log.
+        load_s: seconds for one load when it is the only one.
+        list_lag_s: seconds until an instance list change is visible.
+        daemon: settings that extend or override those of each daemon.
         engine: settings of the stand-in engines.
     """
 
@@ -44,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Process:
-    """A process that this system started."""
+    """A process of the system, with the arguments that start it."""
 
     name: str
     address: str
@@ -54,9 +57,10 @@
 
 
 class System:
-    """Starts, stops and kills processes; a context manager.
+    """Manages the processes of a deployment; a context manager.
 
-    All of them end with it, whatever happens.
+    On exit all processes are killed and the folder is removed, also after
+    an exception.
     """
 
     def __init__(self, settings: SystemSettings) -> None:
@@ -76,10 +80,10 @@
                 process.popen.wait()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # Starting.
+    # Startup.
 
     async def start(self, http: wire.HttpClient) -> None:
-        """Start all processes, form the log and wait for leases."""
+        """Start all processes, form the replicated log and wait for leases."""
         self._plan()
         for process in self.by_name.values():
             self.launch(process.name)
@@ -168,7 +172,7 @@
         return f"127.0.0.1:{reserved.getsockname()[1]}"
 
     def launch(self, name: str) -> None:
-        """Start, or start again, a process."""
+        """Start or restart a process."""
         process = self.by_name[name]
         with open(process.log, "ab") as log:
             process.popen = subprocess.Popen(
@@ -178,28 +182,28 @@
                 stdin=subprocess.DEVNULL,
             )
 
-    # Faults.
+    # Fault injection.
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process with SIGKILL and wait for its exit."""
         process = self.by_name[name]
         self._signal(process, signal.SIGKILL)
         process.popen.wait()
 
     def freeze(self, name: str) -> None:
-        """Stop a process from running on."""
+        """Suspend a process with SIGSTOP."""
         self._signal(self.by_name[name], signal.SIGSTOP)
 
     def wake(self, name: str) -> None:
-        """Let a frozen process run on."""
+        """Resume a suspended process with SIGCONT."""
         self._signal(self.by_name[name], signal.SIGCONT)
 
     def stop(self, name: str) -> None:
-        """Ask a process to stop as planned."""
+        """Request a graceful shutdown with SIGTERM."""
         self._signal(self.by_name[name], signal.SIGTERM)
 
     async def wait_exit(self, name: str, timeout_s: float) -> int | None:
-        """Return a process's exit code, None if it did not exit in time."""
+        """Return a process's exit code, or None after the timeout."""
         deadline = time.monotonic() + timeout_s
         popen = self.by_name[name].popen
         while time.monotonic() < deadline:
@@ -218,7 +222,7 @@
         if popen is not None and popen.poll() is None:
             os.kill(popen.pid, number)
 
-    # What is running.
+    # Inspection and administration.
 
     @property
     def daemons(self) -> list[str]:
@@ -232,7 +236,7 @@
 
     @property
     def services(self) -> list[str]:
-        """Names of all plain services."""
+        """Names of all services."""
         return [name for name in self.by_name if name.startswith("app-")]
 
     @property
@@ -241,7 +245,7 @@
         return [self.by_name[name].address for name in self.daemons]
 
     async def wait_listening(self, http: wire.HttpClient) -> None:
-        """Wait until every process listens."""
+        """Wait until every process answers HTTP requests."""
 
         async def listens(address: str) -> bool:
             request = wire.HttpRequest(f"http://{address}/healthz")
@@ -263,7 +267,12 @@
         leaving: collections.abc.Collection[str] = (),
         without: collections.abc.Collection[str] = (),
     ) -> None:
-        """Set the instance list."""
+        """Publish engines and services in the instance list.
+
+        Args:
+            leaving: names listed as leaving.
+            without: names left out of the list.
+        """
         centres = self.settings.datacentres
         names = [n for n in self.engines + self.services if n not in without]
         listed = [
@@ -316,7 +325,11 @@
         headers: dict[str, str] | None = None,
         name: str = "entry-0",
     ) -> dict:
-        """Send an operator's request and return its answer."""
+        """Send an admin request to a daemon and return the decoded reply.
+
+        Raises:
+            ServingError: the daemon answered with an error.
+        """
         request = wire.HttpRequest(
             f"http://{self.by_name[name].address}{path}",
             method,
@@ -339,12 +352,12 @@
         value: object,
         name: str = "entry-0",
     ) -> dict:
-        """Set a catalogue entry."""
+        """Create or replace a catalogue entry."""
         path = f"/admin/v1/entries/{kind}/{entry_id}"
         return await self.admin(http, "PUT", path, value, None, name)
 
     async def wait_applied(self, http: wire.HttpClient, index: int) -> None:
-        """Wait until a change is in force at every running daemon."""
+        """Wait until every running daemon applied the log up to an index."""
 
         async def applied(name: str) -> bool:
             path = "/admin/v1/status"
@@ -364,13 +377,15 @@
         what: str,
         timeout_s: float = START_TIMEOUT_S,
     ) -> None:
-        """Wait until a check holds.
+        """Poll a check until it returns true.
 
         Raises:
-            TimeoutError: it did not in time.
+            TimeoutError: it did not return true within ``timeout_s``.
         """
         deadline = time.monotonic() + timeout_s
         while not await check():
             if time.monotonic() > deadline:
-                raise TimeoutError(f"Waited {timeout_s} s for {what}.")
+                raise TimeoutError(
+                    f"Timed out after {timeout_s} s waiting for {what}."
+                )
             await asyncio.sleep(0.05)
