--- a/libs/bench/src/bergamotsail/bench/_client.py
+++ b/libs/bench/src/bergamotsail/bench/_client.py
@@ -53,7 +53,7 @@
     async def where(self, kind: str, name: str) -> list[str]:
         """Return addresses for a model or service, from the cache if fresh.
 
-        If no daemon answers, returns the expired answer, or else the
+        If every lookup fails, returns the expired answer, or else the
         configured addresses.
         """
         now = time.monotonic()
