--- a/libs/standins/src/bergamotsail/standins/_disk.py
+++ b/libs/standins/src/bergamotsail/standins/_disk.py
@@ -55,7 +55,10 @@
         return pending[:first] + bytes(last - first) + pending[last:]
 
     def start_again(self) -> None:
-        """Clear the faults, so that a restarted process can use the disk."""
+        """Clear the crash and the sync and space faults after a restart.
+
+        ``tear`` and the delays are kept.
+        """
         self.dead = False
         self.fail_syncs = False
         self.full = False
