--- a/libs/bench/src/bergamotsail/bench/_client.py
+++ b/libs/bench/src/bergamotsail/bench/_client.py
@@ -48,7 +48,7 @@
         self._http = http
         self._addresses = addresses
         self._token = token
-        self._kept_by_name: dict[tuple[str, str], tuple[float, list[str]]] = {}
+        self._cache: dict[tuple[str, str], tuple[float, list[str]]] = {}
 
     async def where(self, kind: str, name: str) -> list[str]:
         """Return addresses for a model or service, from the cache if fresh.
@@ -57,9 +57,9 @@
         configured addresses.
         """
         now = time.monotonic()
-        until, kept = self._kept_by_name.get((kind, name), (0.0, []))
-        if now < until and kept:
-            return kept
+        expires_at, cached = self._cache.get((kind, name), (0.0, []))
+        if now < expires_at and cached:
+            return cached
         query = urllib.parse.urlencode({kind: name})
         for address in self._addresses:
             request = wire.HttpRequest(
@@ -74,17 +74,17 @@
             if reply.status == 200:
                 answer = json.loads(reply.body)
                 found = answer["addresses"] or [address]
-                keep_until = now + answer["keep_s"]
-                self._kept_by_name[(kind, name)] = (keep_until, found)
+                new_expiry = now + answer["keep_s"]
+                self._cache[(kind, name)] = (new_expiry, found)
                 return found
-        return kept or self._addresses
+        return cached or self._addresses
 
-    def forget(self) -> None:
+    def clear_cache(self) -> None:
         """Clear the address cache."""
-        self._kept_by_name.clear()
+        self._cache.clear()
 
-    def _headers(self, **more: str) -> dict[str, str]:
-        return {"Authorization": f"Bearer {self._token}"} | more
+    def _headers(self, **extra: str) -> dict[str, str]:
+        return {"Authorization": f"Bearer {self._token}"} | extra
 
     async def complete(
         self,
@@ -112,7 +112,7 @@
                 )
                 if result.code not in ("cut_off", "stopping", "not_sent"):
                     return result
-                self.forget()
+                self.clear_cache()
             await asyncio.sleep(0.2)
         return result
 
@@ -163,14 +163,14 @@
         addresses = (
             [address] if address else await self.where("service", service)
         )
-        more = {"X-Deadline-Ms": str(int(deadline_s * 1000))}
+        extra = {"X-Deadline-Ms": str(int(deadline_s * 1000))}
         if key is not None:
-            more["Idempotency-Key"] = key
+            extra["Idempotency-Key"] = key
         request = wire.HttpRequest(
             f"http://{addresses[0]}/v1/services/{service}{path}",
             method,
             body if method != "GET" else None,
-            self._headers(**more) | (headers or {}),
+            self._headers(**extra) | (headers or {}),
             timeout_s=deadline_s + 5,
             connect_timeout_s=2.0,
         )
--- a/libs/bench/src/bergamotsail/bench/_system.py
+++ b/libs/bench/src/bergamotsail/bench/_system.py
@@ -67,7 +67,7 @@
         self.settings = settings
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="bergamotsail-"))
         self.by_name: dict[str, Process] = {}
-        self._ports: list[socket.socket] = []
+        self._reserved_sockets: list[socket.socket] = []
 
     def __enter__(self) -> "System":
         return self
@@ -84,7 +84,7 @@
 
     async def start(self, http: wire.HttpClient) -> None:
         """Start all processes, form the replicated log and wait for leases."""
-        self._plan()
+        self._define_processes()
         for process in self.by_name.values():
             self.launch(process.name)
         await self.wait_listening(http)
@@ -92,7 +92,7 @@
         await self.form(http)
         await self.wait_ready(http)
 
-    def _plan(self) -> None:
+    def _define_processes(self) -> None:
         settings = self.settings
         store = self._add_standin("store", f"--load_s={settings.load_s}")
         self._add_standin("list", f"--lag_s={settings.list_lag_s}")
@@ -110,9 +110,9 @@
         replicas = [address_by_name[n] for n in names[: settings.replicas]]
         for number, name in enumerate(names):
             self._add_daemon(name, address_by_name[name], number, replicas)
-        for reserved in self._ports:
+        for reserved in self._reserved_sockets:
             reserved.close()
-        self._ports.clear()
+        self._reserved_sockets.clear()
 
     def _add_standin(
         self, kind: str, *arguments: str, name: str | None = None
@@ -133,12 +133,12 @@
     def _add_daemon(
         self, name: str, address: str, number: int, replicas: list[str]
     ) -> None:
-        centres = self.settings.datacentres
+        datacentres = self.settings.datacentres
         list_address = self.by_name["list"].address
         values: dict[str, object] = {
             "name": name,
             "address": address,
-            "datacentre": centres[number % len(centres)],
+            "datacentre": datacentres[number % len(datacentres)],
             "replicas": replicas,
             "instance_list": f"http://{list_address}/instances",
             "peer_token": PEER_TOKEN,
@@ -168,7 +168,7 @@
         reserved = socket.socket()
         reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         reserved.bind(("127.0.0.1", 0))
-        self._ports.append(reserved)
+        self._reserved_sockets.append(reserved)
         return f"127.0.0.1:{reserved.getsockname()[1]}"
 
     def launch(self, name: str) -> None:
@@ -273,14 +273,14 @@
             leaving: names listed as leaving.
             without: names left out of the list.
         """
-        centres = self.settings.datacentres
+        datacentres = self.settings.datacentres
         names = [n for n in self.engines + self.services if n not in without]
         listed = [
             {
                 "id": name,
                 "pool": "sastre-llm" if name in self.engines else "booking",
                 "address": self.by_name[name].address,
-                "datacentre": centres[number % len(centres)],
+                "datacentre": datacentres[number % len(datacentres)],
                 "state": "leaving" if name in leaving else "live",
             }
             for number, name in enumerate(names)
@@ -301,7 +301,7 @@
     async def wait_ready(self, http: wire.HttpClient) -> None:
         """Wait until every running daemon holds a lease."""
 
-        async def fresh(address: str) -> bool:
+        async def has_lease(address: str) -> bool:
             request = wire.HttpRequest(f"http://{address}/healthz")
             try:
                 return (await http.fetch(request)).status == 200
@@ -312,7 +312,7 @@
             if self.by_name[name].popen.poll() is None:
                 address = self.by_name[name].address
                 await self.eventually(
-                    lambda address=address: fresh(address),
+                    lambda address=address: has_lease(address),
                     f"{name} to hold a lease",
                 )
 
--- a/libs/bench/src/bergamotsail/bench/_virtual.py
+++ b/libs/bench/src/bergamotsail/bench/_virtual.py
@@ -71,7 +71,7 @@
         for number, address in enumerate(addresses):
             await self._start(number, address, addresses[:3])
         await self.daemon(0).node.form()
-        await self._wait(self._all_fresh)
+        await self._wait_until(self._all_have_leases)
         await self._create_entries()
         await asyncio.sleep(SETTLE_S)
         return self
@@ -85,16 +85,16 @@
 
     def publish(self) -> None:
         """Publish all engines in the instance list."""
-        centres = self.settings.datacentres
+        datacentres = self.settings.datacentres
         listed = []
         for number, address in enumerate(self.engine_by_address):
             name = f"runner-{number}"
             state = targets.InstanceState.LIVE
             if name in self.leaving:
                 state = targets.InstanceState.LEAVING
-            centre = centres[number % len(centres)]
+            datacentre = datacentres[number % len(datacentres)]
             listed.append(
-                targets.Instance(name, "llm", address, centre, state)
+                targets.Instance(name, "llm", address, datacentre, state)
             )
         self.instances.set(tuple(listed))
 
@@ -117,7 +117,7 @@
         settings = settings_lib.parse(
             json.dumps(values | self.settings.daemon)
         )
-        outside = daemon_lib.Outside(
+        external = daemon_lib.Outside(
             standins.MemoryTransport(self.network, address),
             lambda at: standins.MemoryEngine(
                 self.engine_by_address[at], self._link
@@ -127,13 +127,13 @@
             disk,
             random.Random(self.rng.random()),
         )
-        daemon = daemon_lib.Daemon(settings, outside)
+        daemon = daemon_lib.Daemon(settings, external)
         self.network.join(address, daemon.server)
         self.daemon_by_address[address] = daemon
         await daemon.__aenter__()
-        self._stack.push_async_callback(self.lose, address)
+        self._stack.push_async_callback(self.kill, address)
 
-    async def lose(self, address: str) -> None:
+    async def kill(self, address: str) -> None:
         """Kill a daemon without a graceful shutdown."""
         daemon = self.daemon_by_address.pop(address, None)
         if daemon is not None:
@@ -143,13 +143,15 @@
     async def stop(self, address: str) -> None:
         """Shut a daemon down gracefully."""
         await self.daemon_by_address[address].stop()
-        await self.lose(address)
+        await self.kill(address)
 
-    def _all_fresh(self) -> bool:
+    def _all_have_leases(self) -> bool:
         daemons = self.daemon_by_address.values()
         return all(daemon.session.fresh() for daemon in daemons)
 
-    async def _wait(self, check: collections.abc.Callable[[], bool]) -> None:
+    async def _wait_until(
+        self, check: collections.abc.Callable[[], bool]
+    ) -> None:
         while not check():
             await asyncio.sleep(POLL_S)
 
--- a/libs/bench/src/bergamotsail/bench/_workloads.py
+++ b/libs/bench/src/bergamotsail/bench/_workloads.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shape:
+class DeploymentProfile:
     """Size and load of one of the two benchmarked deployments.
 
     Args:
@@ -51,11 +51,13 @@
     )
 
 
-TAHI = Shape("tahi", ("tahi", "other"), 6, 9, 3000, 0.25, 6.0, 0.004, 1.0)
-LAKESHORE = Shape(
+TAHI = DeploymentProfile(
+    "tahi", ("tahi", "other"), 6, 9, 3000, 0.25, 6.0, 0.004, 1.0
+)
+LAKESHORE = DeploymentProfile(
     "lakeshore", ("lakeshore", "other"), 6, 6, 3000, 0.333, 3.5, 0.001, 0.0
 )
-SHAPES = (TAHI, LAKESHORE)
+PROFILES = (TAHI, LAKESHORE)
 
 EVENTS = (
     "steady",
@@ -72,38 +74,40 @@
 
 
 def trace(
-    shape: Shape, event: str, seconds: float, seed: int
+    profile: DeploymentProfile, event: str, seconds: float, seed: int
 ) -> list[Arrival]:
     """Return the arrivals of a workload, ordered by time."""
-    rng = random.Random(f"{shape.name}/{event}/{seed}")
-    arrivals = list(_skewed(shape, event, seconds, rng))
+    rng = random.Random(f"{profile.name}/{event}/{seed}")
+    arrivals = list(_zipf_arrivals(profile, event, seconds, rng))
     if event == "flood":
-        arrivals += _flood(shape, seconds, rng)
+        arrivals += _flood_arrivals(profile, seconds, rng)
     arrivals.sort(key=lambda arrival: arrival.at)
     return arrivals
 
 
-def _skewed(
-    shape: Shape, event: str, seconds: float, rng: random.Random
+def _zipf_arrivals(
+    profile: DeploymentProfile, event: str, seconds: float, rng: random.Random
 ) -> collections.abc.Iterator[Arrival]:
-    ranks = list(range(shape.adapters))
+    ranks = list(range(profile.adapters))
     rng.shuffle(ranks)
-    weights = [1 / (rank + 1) ** shape.skew for rank in range(shape.adapters)]
+    weights = [
+        1 / (rank + 1) ** profile.skew for rank in range(profile.adapters)
+    ]
     at = 0.0
-    shifted = False
+    has_shifted = False
     while True:
-        at += rng.expovariate(shape.rate)
+        at += rng.expovariate(profile.rate)
         if at >= seconds:
             return
-        if event == "shift" and at > seconds / 2 and not shifted:
+        if event == "shift" and at > seconds / 2 and not has_shifted:
             rng.shuffle(ranks)
-            shifted = True
-        adapter = ranks[rng.choices(range(shape.adapters), weights)[0]]
-        yield Arrival(at, adapter, _tokens(rng))
+            has_shifted = True
+        adapter = ranks[rng.choices(range(profile.adapters), weights)[0]]
+        yield Arrival(at, adapter, _draw_tokens(rng))
 
 
-def _flood(
-    shape: Shape, seconds: float, rng: random.Random
+def _flood_arrivals(
+    profile: DeploymentProfile, seconds: float, rng: random.Random
 ) -> collections.abc.Iterator[Arrival]:
     """Yield requests for uniformly drawn adapters of the second member.
 
@@ -113,16 +117,16 @@
     at = seconds / 3
     while at < seconds * 2 / 3:
         at += rng.expovariate(FLOOD_RATE)
-        adapter = rng.randrange(shape.adapters // 2) * 2 + 1
-        yield Arrival(at, adapter, _tokens(rng))
+        adapter = rng.randrange(profile.adapters // 2) * 2 + 1
+        yield Arrival(at, adapter, _draw_tokens(rng))
 
 
-def _tokens(rng: random.Random) -> int:
+def _draw_tokens(rng: random.Random) -> int:
     return 1 + min(200, int(rng.expovariate(1 / MEAN_TOKENS)))
 
 
-def fewest_loads(
-    arrivals: collections.abc.Sequence[Arrival], slots: int, warm_until: float
+def belady_loads(
+    arrivals: collections.abc.Sequence[Arrival], slots: int, warmup_end: float
 ) -> int:
     """Return the loads of Belady's optimal eviction after the warm-up.
 
@@ -130,22 +134,22 @@
     next use is furthest in the future is evicted. This is a lower bound for
     every policy that serves the requests in order.
     """
-    later: list[float] = [0.0] * len(arrivals)
+    next_uses: list[float] = [0.0] * len(arrivals)
     next_at: dict[int, float] = {}
     for position in range(len(arrivals) - 1, -1, -1):
         adapter = arrivals[position].adapter
-        later[position] = next_at.get(adapter, float("inf"))
+        next_uses[position] = next_at.get(adapter, float("inf"))
         next_at[adapter] = position
-    held: dict[int, float] = {}
-    latest: list[tuple[float, int]] = []
+    next_use_by_adapter: dict[int, float] = {}
+    eviction_heap: list[tuple[float, int]] = []
     loads = 0
-    for arrival, following in zip(arrivals, later):
-        if arrival.adapter not in held:
-            loads += arrival.at >= warm_until
-            while len(held) >= slots:
-                use, adapter = heapq.heappop(latest)
-                if held.get(adapter) == -use:
-                    del held[adapter]
-        held[arrival.adapter] = following
-        heapq.heappush(latest, (-following, arrival.adapter))
+    for arrival, next_use in zip(arrivals, next_uses):
+        if arrival.adapter not in next_use_by_adapter:
+            loads += arrival.at >= warmup_end
+            while len(next_use_by_adapter) >= slots:
+                negated_use, adapter = heapq.heappop(eviction_heap)
+                if next_use_by_adapter.get(adapter) == -negated_use:
+                    del next_use_by_adapter[adapter]
+        next_use_by_adapter[arrival.adapter] = next_use
+        heapq.heappush(eviction_heap, (-next_use, arrival.adapter))
     return loads
--- a/libs/bench/src/bergamotsail/bench/capacity.py
+++ b/libs/bench/src/bergamotsail/bench/capacity.py
@@ -31,15 +31,15 @@
 
 ENTRIES = 41_000
 LOG_ENTRIES = 10_000
-PAGE = resource.getpagesize()
-TICKS = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = resource.getpagesize()
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 REQUESTS = 60
 TOKENS = 100
 MB = 1e6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Slope:
+class Measurement:
     """A measured unit cost."""
 
     name: str
@@ -49,14 +49,14 @@
 
 def _process_rss(pid: int) -> int:
     fields = pathlib.Path(f"/proc/{pid}/statm").read_text().split()
-    return int(fields[1]) * PAGE
+    return int(fields[1]) * PAGE_BYTES
 
 
 def _process_cpu_s(pid: int) -> float:
     """Return the CPU seconds (user and system) used by a process."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def _put(number: int) -> catalogue.Command:
@@ -97,41 +97,45 @@
     return machine
 
 
-def measure_catalogue() -> collections.abc.Iterator[Slope]:
+def measure_catalogue() -> collections.abc.Iterator[Measurement]:
     """Measure memory, snapshot size and CPU per entry and per change."""
     tracemalloc.start()
     machine = _filled_machine(ENTRIES)
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    yield Slope("machine memory per entry", held / ENTRIES, "bytes")
+    yield Measurement("machine memory per entry", allocated / ENTRIES, "bytes")
     lines = list(machine.snapshot())
     size = sum(len(line) for line in lines)
-    yield Slope("snapshot bytes per entry", size / ENTRIES, "bytes")
+    yield Measurement("snapshot bytes per entry", size / ENTRIES, "bytes")
     started = time.perf_counter()
     list(machine.snapshot())
-    spent_s = time.perf_counter() - started
-    yield Slope("snapshot encoding per entry", spent_s / ENTRIES * 1e6, "us")
+    elapsed_s = time.perf_counter() - started
+    yield Measurement(
+        "snapshot encoding per entry", elapsed_s / ENTRIES * 1e6, "us"
+    )
     effects = list(machine.view.effects())
     tracemalloc.start()
     view = catalogue.View()
     for effect in effects:
         view.apply(wire.decode(wire.encode(effect), catalogue.Effect))
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    yield Slope("view memory per entry", held / ENTRIES, "bytes")
+    yield Measurement("view memory per entry", allocated / ENTRIES, "bytes")
     effect = next(view.effects())
     encoded = wire.encode(effect)
-    yield Slope("bytes per change per daemon", len(encoded), "bytes")
+    yield Measurement("bytes per change per daemon", len(encoded), "bytes")
     started = time.perf_counter()
     for _ in range(2000):
         view.apply(wire.decode(encoded, catalogue.Effect))
-    spent_s = time.perf_counter() - started
-    yield Slope("cpu per change per daemon", spent_s / 2000 * 1e6, "us")
+    elapsed_s = time.perf_counter() - started
+    yield Measurement(
+        "cpu per change per daemon", elapsed_s / 2000 * 1e6, "us"
+    )
 
 
-def measure_heartbeat() -> collections.abc.Iterator[Slope]:
+def measure_heartbeat() -> collections.abc.Iterator[Measurement]:
     """Measure the size of target digests and the CPU cost of a delta."""
     status = control.TargetStatus(
         "runner-100",
@@ -151,7 +155,7 @@
         )
         digest.put_target(info)
     full = wire.encode(digest.delta(0, 0))
-    yield Slope("digest bytes per target", len(full) / 600, "bytes")
+    yield Measurement("digest bytes per target", len(full) / 600, "bytes")
     version = digest.version
     for number in range(10):
         info = control.TargetInfo(
@@ -164,17 +168,21 @@
         )
         digest.put_target(info)
     delta = wire.encode(digest.delta(3, version))
-    yield Slope("digest bytes per changed target", len(delta) / 10, "bytes")
+    yield Measurement(
+        "digest bytes per changed target", len(delta) / 10, "bytes"
+    )
     started = time.perf_counter()
     for _ in range(500):
         wire.encode(digest.delta(3, version))
-    spent_s = time.perf_counter() - started
-    yield Slope("cpu of a delta over 600 targets", spent_s / 500 * 1e6, "us")
+    elapsed_s = time.perf_counter() - started
+    yield Measurement(
+        "cpu of a delta over 600 targets", elapsed_s / 500 * 1e6, "us"
+    )
 
 
-async def measure_log() -> list[Slope]:
+async def measure_log() -> list[Measurement]:
     """Measure append and sync, log size, and restart by replay."""
-    slopes = []
+    measurements = []
     with tempfile.TemporaryDirectory() as folder:
         storage = quorum.Storage(quorum.FolderDisk(folder))
         await storage.load()
@@ -191,60 +199,68 @@
         for entry in entries[:200]:
             await storage.append([entry])
             await storage.sync()
-        spent_s = time.perf_counter() - started
-        slopes.append(
-            Slope("append and sync of one entry", spent_s / 200 * 1e3, "ms")
+        elapsed_s = time.perf_counter() - started
+        measurements.append(
+            Measurement(
+                "append and sync of one entry", elapsed_s / 200 * 1e3, "ms"
+            )
         )
         await storage.append(entries[200:])
         await storage.sync()
         size = (pathlib.Path(folder) / "log").stat().st_size
-        slopes.append(
-            Slope("log bytes per entry", size / LOG_ENTRIES, "bytes")
+        measurements.append(
+            Measurement("log bytes per entry", size / LOG_ENTRIES, "bytes")
         )
         started = time.perf_counter()
-        again = quorum.Storage(quorum.FolderDisk(folder))
-        loaded = await again.load()
+        reopened = quorum.Storage(quorum.FolderDisk(folder))
+        loaded = await reopened.load()
         machine = _filled_machine(0)
         for entry in loaded.entries:
             machine.apply(entry.index + 2, entry.data)
-        spent_s = time.perf_counter() - started
-        slopes.append(
-            Slope(
+        elapsed_s = time.perf_counter() - started
+        measurements.append(
+            Measurement(
                 "restart by replay, per entry",
-                spent_s / LOG_ENTRIES * 1e6,
+                elapsed_s / LOG_ENTRIES * 1e6,
                 "us",
             )
         )
-    return slopes
+    return measurements
 
 
-async def measure_snapshot() -> list[Slope]:
+async def measure_snapshot() -> list[Measurement]:
     """Measure writing and restoring a snapshot of ``ENTRIES`` entries.
 
     Also returns its size, which a leader would send to each follower if
     followers did not take their own snapshots.
     """
-    slopes = []
+    measurements = []
     machine = _filled_machine(ENTRIES)
     meta = quorum.SnapshotMeta(ENTRIES, 1, quorum.Config())
     with tempfile.TemporaryDirectory() as folder:
         storage = quorum.Storage(quorum.FolderDisk(folder))
         started = time.perf_counter()
         await storage.write_snapshot(meta, machine.snapshot())
-        taken_s = time.perf_counter() - started
+        write_s = time.perf_counter() - started
         size = (pathlib.Path(folder) / "snapshot").stat().st_size
         started = time.perf_counter()
         stored = await storage.read_snapshot()
         restored = catalogue.CatalogueMachine()
         restored.restore(ENTRIES, stored[1])
         restore_s = time.perf_counter() - started
-    slopes.append(Slope("own snapshot of 41,000 entries", taken_s, "s"))
-    slopes.append(Slope("restart from that snapshot", restore_s, "s"))
-    slopes.append(Slope("bytes shipped per follower instead", size / MB, "MB"))
-    return slopes
+    measurements.append(
+        Measurement("own snapshot of 41,000 entries", write_s, "s")
+    )
+    measurements.append(
+        Measurement("restart from that snapshot", restore_s, "s")
+    )
+    measurements.append(
+        Measurement("bytes shipped per follower instead", size / MB, "MB")
+    )
+    return measurements
 
 
-async def _cpu_of(
+async def _measure_cpu(
     system: bench.System, work: collections.abc.Awaitable
 ) -> tuple[dict[str, float], float]:
     """Return CPU seconds by daemon while *work* runs, and elapsed seconds."""
@@ -252,18 +268,18 @@
     before = {name: _process_cpu_s(pid) for name, pid in pids.items()}
     started = time.perf_counter()
     await work
-    spent_s = time.perf_counter() - started
+    elapsed_s = time.perf_counter() - started
     used = {n: _process_cpu_s(pid) - before[n] for n, pid in pids.items()}
-    return used, spent_s
+    return used, elapsed_s
 
 
-async def measure_processes() -> list[Slope]:
+async def measure_processes() -> list[Measurement]:
     """Measure daemons as processes.
 
     Covers idle CPU and memory, CPU per request and token, latency of service
     calls, takeover of a target, and leader election.
     """
-    slopes = []
+    measurements = []
     settings = bench.SystemSettings(
         daemons=6, engines=3, engine={"step_s": 0.005, "batch_slots": 32}
     )
@@ -271,33 +287,43 @@
         await system.start(http)
         await demo.create_entries(system, http, 4)
         await asyncio.sleep(5.0)
-        used, spent_s = await _cpu_of(system, asyncio.sleep(10.0))
-        idle = [used[name] / spent_s for name in system.daemons[3:]]
-        slopes.append(
-            Slope("idle entry daemon", 100 * max(idle), "% of a core")
+        used, elapsed_s = await _measure_cpu(system, asyncio.sleep(10.0))
+        entry_shares = [used[name] / elapsed_s for name in system.daemons[3:]]
+        measurements.append(
+            Measurement(
+                "idle entry daemon", 100 * max(entry_shares), "% of a core"
+            )
         )
-        leading = [used[name] / spent_s for name in system.daemons[:3]]
-        slopes.append(
-            Slope(
-                "idle leader of 6 daemons", 100 * max(leading), "% of a core"
+        replica_shares = [
+            used[name] / elapsed_s for name in system.daemons[:3]
+        ]
+        measurements.append(
+            Measurement(
+                "idle leader of 6 daemons",
+                100 * max(replica_shares),
+                "% of a core",
             )
         )
         rss = [
             _process_rss(system.by_name[name].popen.pid)
             for name in system.daemons
         ]
-        slopes.append(Slope("resident entry daemon", max(rss[3:]) / MB, "MB"))
-        slopes.append(Slope("resident replica", max(rss[:3]) / MB, "MB"))
-        slopes += await _measure_tokens(system, http)
-        slopes += await _measure_claims(system, http)
-        slopes += await _measure_takeover(system, http)
-        slopes += await _measure_election(system, http)
-    return slopes
+        measurements.append(
+            Measurement("resident entry daemon", max(rss[3:]) / MB, "MB")
+        )
+        measurements.append(
+            Measurement("resident replica", max(rss[:3]) / MB, "MB")
+        )
+        measurements += await _measure_tokens(system, http)
+        measurements += await _measure_service_calls(system, http)
+        measurements += await _measure_takeover(system, http)
+        measurements += await _measure_election(system, http)
+    return measurements
 
 
 async def _measure_tokens(
     system: bench.System, http: wire.HttpClient
-) -> list[Slope]:
+) -> list[Measurement]:
     """Measure CPU time per request and token, with one hop and with two.
 
     One hop is a request at the daemon that owns the target; two hops are a
@@ -313,7 +339,7 @@
         if t["info"]["id"] == target
     )
     other = next(n for n in system.daemons[3:] if n != owner)
-    slopes = []
+    measurements = []
     for name, hops in ((owner, "one hop"), (other, "two hops")):
         for tokens in (1, TOKENS):
             address = system.by_name[name].address
@@ -328,47 +354,55 @@
                     )
                 )
 
-            used, spent_s = await _cpu_of(system, load())
+            used, elapsed_s = await _measure_cpu(system, load())
             total = used[name] + (used[owner] if name != owner else 0.0)
             if tokens == 1:
                 per_request = total / REQUESTS
-                slopes.append(
-                    Slope(f"cpu per request, {hops}", per_request * 1e3, "ms")
+                measurements.append(
+                    Measurement(
+                        f"cpu per request, {hops}", per_request * 1e3, "ms"
+                    )
                 )
             else:
                 per_token = (total / REQUESTS - per_request) / (TOKENS - 1)
-                slopes.append(
-                    Slope(f"cpu per token, {hops}", per_token * 1e6, "us")
+                measurements.append(
+                    Measurement(
+                        f"cpu per token, {hops}", per_token * 1e6, "us"
+                    )
                 )
-    return slopes
+    return measurements
 
 
-async def _measure_claims(
+async def _measure_service_calls(
     system: bench.System, http: wire.HttpClient
-) -> list[Slope]:
+) -> list[Measurement]:
     """Measure the latency of idempotent and of non-idempotent calls.
 
     Non-idempotent calls claim their key in the replicated log first.
     """
     client = bench.Client(http, system.addresses, "tahi-token")
-    slopes = []
+    measurements = []
     for path, what in (("/slots", "repeatable"), ("/pickups", "claimed")):
-        spent = []
+        latencies_s = []
         for number in range(100):
             key = f"{int(time.time())}-{path}-{number}"
             started = time.perf_counter()
             result = await client.call("tahi-app", path, key=key)
-            spent.append(time.perf_counter() - started)
+            latencies_s.append(time.perf_counter() - started)
             assert not result.code, result
-        spent.sort()
-        slopes.append(Slope(f"{what} call, p50", spent[50] * 1e3, "ms"))
-        slopes.append(Slope(f"{what} call, p99", spent[98] * 1e3, "ms"))
-    return slopes
+        latencies_s.sort()
+        measurements.append(
+            Measurement(f"{what} call, p50", latencies_s[50] * 1e3, "ms")
+        )
+        measurements.append(
+            Measurement(f"{what} call, p99", latencies_s[98] * 1e3, "ms")
+        )
+    return measurements
 
 
 async def _measure_takeover(
     system: bench.System, http: wire.HttpClient
-) -> list[Slope]:
+) -> list[Measurement]:
     """Measure the time until the target of a killed owner has a new one."""
     status = await system.admin(http, "GET", "/admin/v1/status")
     owner_by_target = {
@@ -382,20 +416,26 @@
         for target, owner in owner_by_target.items()
         if owner not in ("", leader)
     )
-    asked = next(n for n in system.daemons if n not in (owner, leader))
+    observer = next(n for n in system.daemons if n not in (owner, leader))
     system.kill(owner)
     started = time.perf_counter()
 
     async def taken_over() -> bool:
-        now = await system.admin(http, "GET", "/admin/v1/status", name=asked)
+        now = await system.admin(
+            http, "GET", "/admin/v1/status", name=observer
+        )
         found = next(t for t in now["targets"] if t["info"]["id"] == target)
         return (found["owner"] or "").partition("#")[0] not in ("", owner)
 
     await system.eventually(taken_over, "the target to be taken over")
-    spent_s = time.perf_counter() - started
+    elapsed_s = time.perf_counter() - started
     system.launch(owner)
     await system.wait_ready(http)
-    return [Slope("engine owned again after its owner's kill", spent_s, "s")]
+    return [
+        Measurement(
+            "engine owned again after its owner's kill", elapsed_s, "s"
+        )
+    ]
 
 
 def _leader_of(system: bench.System, status: dict) -> str:
@@ -409,7 +449,7 @@
 
 async def _measure_election(
     system: bench.System, http: wire.HttpClient
-) -> list[Slope]:
+) -> list[Measurement]:
     """Measure the time from the leader's kill to the next accepted change."""
     status = await system.admin(
         http, "GET", "/admin/v1/status", name=system.daemons[-1]
@@ -428,51 +468,55 @@
         return True
 
     await system.eventually(accepted, "a change after the kill")
-    spent_s = time.perf_counter() - started
-    return [Slope("change accepted after the leader's kill", spent_s, "s")]
+    elapsed_s = time.perf_counter() - started
+    return [
+        Measurement("change accepted after the leader's kill", elapsed_s, "s")
+    ]
 
 
-async def measure_changes(daemons: int) -> list[Slope]:
+async def measure_changes(daemons: int) -> list[Measurement]:
     """Measure change propagation to all daemons, and the leader's idle CPU."""
     settings = bench.SystemSettings(daemons=daemons, engines=1, services=1)
     with bench.System(settings) as system, wire.HttpClient() as http:
         await system.start(http)
         await asyncio.sleep(4.0)
-        spent = []
+        latencies_s = []
         for number in range(5):
             value = {"token_sha256": catalogue.hash_token(f"t{number}")}
             started = time.perf_counter()
             reply = await system.put(http, "member", f"m-{number}", value)
             await system.wait_applied(http, reply["revision"])
-            spent.append(time.perf_counter() - started)
-        used, wall_s = await _cpu_of(system, asyncio.sleep(8.0))
+            latencies_s.append(time.perf_counter() - started)
+        used, elapsed_s = await _measure_cpu(system, asyncio.sleep(8.0))
         leader = max(used[name] for name in system.daemons[:3])
     return [
-        Slope(f"change in force, {daemons} daemons, max", max(spent), "s"),
-        Slope(
+        Measurement(
+            f"change in force, {daemons} daemons, max", max(latencies_s), "s"
+        ),
+        Measurement(
             f"leader of {daemons} daemons",
-            100 * leader / wall_s,
+            100 * leader / elapsed_s,
             "% of a core",
         ),
     ]
 
 
-async def _measure() -> list[Slope]:
-    slopes = [*measure_catalogue(), *measure_heartbeat()]
-    slopes += await measure_log()
-    slopes += await measure_snapshot()
-    slopes += await measure_processes()
+async def _measure() -> list[Measurement]:
+    measurements = [*measure_catalogue(), *measure_heartbeat()]
+    measurements += await measure_log()
+    measurements += await measure_snapshot()
+    measurements += await measure_processes()
     for daemons in _DAEMONS.value:
-        slopes += await measure_changes(int(daemons))
-    return slopes
+        measurements += await measure_changes(int(daemons))
+    return measurements
 
 
 def _main(_: list[str]) -> None:
     logging.set_verbosity(logging.FATAL)
-    slopes = asyncio.run(_measure())
-    for slope in slopes:
-        print(f"{slope.name:44} {slope.value:12.3f} {slope.unit}")
-    print(json.dumps({s.name: round(s.value, 4) for s in slopes}))
+    measurements = asyncio.run(_measure())
+    for m in measurements:
+        print(f"{m.name:44} {m.value:12.3f} {m.unit}")
+    print(json.dumps({m.name: round(m.value, 4) for m in measurements}))
 
 
 if __name__ == "__main__":
--- a/libs/bench/src/bergamotsail/bench/demo.py
+++ b/libs/bench/src/bergamotsail/bench/demo.py
@@ -26,12 +26,12 @@
 
 MEMBERS = ("tahi", "lakeshore")
 SKEW = 1.1
-CALLS = 60
+SERVICE_CALLS = 60
 TOKENS = 12
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
+class Outcomes:
     """Counts of request outcomes.
 
     Args:
@@ -89,7 +89,7 @@
     def __init__(
         self, system: bench.System, http: wire.HttpClient, adapters: int
     ) -> None:
-        self.tally = Tally()
+        self.outcomes = Outcomes()
         self._random = random.Random(7)
         self._adapters = adapters
         self._clients = {
@@ -102,49 +102,49 @@
         weights = [1 / (rank + 1) ** SKEW for rank in range(self._adapters)]
         tasks = []
         started = time.monotonic()
-        every = max(1, requests // CALLS)
+        call_interval = max(1, requests // SERVICE_CALLS)
         for number in range(requests):
             due = started + number * seconds / requests
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             chosen = self._random.choices(range(self._adapters), weights)[0]
             tasks.append(asyncio.create_task(self._complete(chosen, number)))
-            if number % every == 0:
+            if number % call_interval == 0:
                 tasks.append(asyncio.create_task(self._call(number)))
         await asyncio.gather(*tasks)
 
     async def _complete(self, adapter: int, number: int) -> None:
-        tally = self.tally
-        tally.requests += 1
+        outcomes = self.outcomes
+        outcomes.requests += 1
         client = self._clients[MEMBERS[adapter % 2]]
         prompt = f"hem {number % 50}"
         name = f"adapter-{adapter}"
         result = await client.complete(name, prompt, TOKENS)
         if result.code:
-            tally.refused[result.code] += 1
+            outcomes.refused[result.code] += 1
             if result.ran == "unknown":
-                tally.lost += 1
+                outcomes.lost += 1
             return
-        tally.answered += 1
-        wanted = standins.expected_text(f"{name}@v1", prompt, TOKENS)
-        if result.text != wanted or result.model != f"{name}@v1":
-            tally.wrong_adapter += 1
+        outcomes.answered += 1
+        expected = standins.expected_text(f"{name}@v1", prompt, TOKENS)
+        if result.text != expected or result.model != f"{name}@v1":
+            outcomes.wrong_adapter += 1
 
     async def _call(self, number: int) -> None:
-        tally = self.tally
-        tally.requests += 1
+        outcomes = self.outcomes
+        outcomes.requests += 1
         member = MEMBERS[number % 2]
         key = f"{int(time.time())}-{uuid.uuid4()}"
-        tally.keys.add(key)
+        outcomes.keys.add(key)
         result = await self._clients[member].call(
             f"{member}-app", f"/pickups/{number}", key=key
         )
         if result.code:
-            tally.refused[result.code] += 1
+            outcomes.refused[result.code] += 1
             if result.ran == "unknown":
-                tally.lost += 1
+                outcomes.lost += 1
             return
-        tally.answered += 1
-        tally.answered_keys.append(key)
+        outcomes.answered += 1
+        outcomes.answered_keys.append(key)
 
 
 async def count_runs(
@@ -224,18 +224,20 @@
         runs = await count_runs(system, http)
         snapshot = await read_metrics(system, http)
         efficiency = await batch_efficiency(system, http)
-    tally = load.tally
+    outcomes = load.outcomes
     print_report(observe.readable(snapshot))
     return {
-        "requests": tally.requests,
-        "answered": tally.answered,
-        "refused": sum(tally.refused.values()),
-        "refused_by_code": dict(tally.refused),
-        "wrong_adapter": tally.wrong_adapter,
-        "lost": tally.lost
-        + sum(runs[key] == 0 for key in tally.answered_keys),
+        "requests": outcomes.requests,
+        "answered": outcomes.answered,
+        "refused": sum(outcomes.refused.values()),
+        "refused_by_code": dict(outcomes.refused),
+        "wrong_adapter": outcomes.wrong_adapter,
+        "lost": outcomes.lost
+        + sum(runs[key] == 0 for key in outcomes.answered_keys),
         "doubled": sum(
-            count > 1 for key, count in runs.items() if key in load.tally.keys
+            count > 1
+            for key, count in runs.items()
+            if key in load.outcomes.keys
         ),
         "load_stall_ms": load_stalls_ms(snapshot),
         "batch_efficiency": round(efficiency, 4),
--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -36,7 +36,7 @@
     "events", None, "Workload events to run; default: all."
 )
 
-WARM_PART = 1 / 3
+WARMUP_FRACTION = 1 / 3
 DEADLINE_S = 30.0
 BASELINES = ("least_loaded", "hash")
 
@@ -61,7 +61,7 @@
 class Task:
     """One benchmark run."""
 
-    shape: _workloads.Shape
+    profile: _workloads.DeploymentProfile
     event: str
     policy: Policy
     seconds: float
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Measured:
+class Outcomes:
     """Request outcomes after the warm-up.
 
     Args:
@@ -92,19 +92,19 @@
     )
 
 
-def percentile(values: list[float], part: float) -> float:
+def percentile(values: list[float], fraction: float) -> float:
     """Return the value at a rank from 0 to 1, or 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-async def _ask(
+async def _request_completion(
     deployment: _virtual.Deployment,
     arrival: _workloads.Arrival,
     client_s: float,
-    measured: Measured | None,
+    outcomes: Outcomes | None,
 ) -> None:
     members = deployment.settings.members
     member = members[arrival.adapter % len(members)]
@@ -131,18 +131,18 @@
                     first = loop.time() - started + client_s
     except wire.ServingError as error:
         code = error.code
-    if measured is None:
+    if outcomes is None:
         return
-    measured.asked += 1
+    outcomes.asked += 1
     if code:
-        measured.refused[code] += 1
+        outcomes.refused[code] += 1
         return
-    measured.answered += 1
-    measured.first_s[member].append(first or 0.0)
-    measured.by_second[int(arrival.at)].append(first or 0.0)
+    outcomes.answered += 1
+    outcomes.first_s[member].append(first or 0.0)
+    outcomes.by_second[int(arrival.at)].append(first or 0.0)
 
 
-async def _events(
+async def _inject_event(
     deployment: _virtual.Deployment, event: str, seconds: float
 ) -> None:
     """Inject the fault or change of an event half-way through a run."""
@@ -162,20 +162,20 @@
         deployment.leaving.add("runner-0")
         deployment.publish()
     elif event == "daemon_lost":
-        await deployment.lose(addresses[-1])
+        await deployment.kill(addresses[-1])
     elif event == "daemon_stop":
         await deployment.stop(addresses[-1])
 
 
 async def _run(task: Task) -> dict[str, object]:
-    shape = task.shape
+    profile = task.profile
     settings = _virtual.DeploymentSettings(
-        shape.members,
-        shape.daemons,
-        shape.engines,
-        shape.adapters,
-        shape.load_s,
-        shape.engine,
+        profile.members,
+        profile.daemons,
+        profile.engines,
+        profile.adapters,
+        profile.load_s,
+        profile.engine,
         {
             "routing": task.policy.routing,
             "placement": {
@@ -185,36 +185,36 @@
         },
         task.seed,
     )
-    arrivals = _workloads.trace(shape, task.event, task.seconds, task.seed)
-    warm_until = task.seconds * WARM_PART
-    measured = Measured()
+    arrivals = _workloads.trace(profile, task.event, task.seconds, task.seed)
+    warmup_end = task.seconds * WARMUP_FRACTION
+    outcomes = Outcomes()
     async with _virtual.Deployment(settings) as deployment:
         loop = asyncio.get_running_loop()
         started = loop.time()
         event = asyncio.create_task(
-            _events(deployment, task.event, task.seconds)
+            _inject_event(deployment, task.event, task.seconds)
         )
-        asking = []
-        counted = None
+        request_tasks = []
+        initial_counts = None
         for arrival in arrivals:
             await asyncio.sleep(max(0.0, started + arrival.at - loop.time()))
-            if counted is None and arrival.at >= warm_until:
+            if initial_counts is None and arrival.at >= warmup_end:
                 deployment.reset_metrics()
-                counted = _engine_counts(deployment)
-            is_warm = arrival.at >= warm_until
-            asking.append(
+                initial_counts = _engine_counts(deployment)
+            is_counted = arrival.at >= warmup_end
+            request_tasks.append(
                 asyncio.create_task(
-                    _ask(
+                    _request_completion(
                         deployment,
                         arrival,
-                        shape.client_s,
-                        measured if is_warm else None,
+                        profile.client_s,
+                        outcomes if is_counted else None,
                     )
                 )
             )
-        await asyncio.gather(*asking)
+        await asyncio.gather(*request_tasks)
         await event
-        return _figures(task, arrivals, deployment, measured, counted)
+        return _summarize(task, arrivals, deployment, outcomes, initial_counts)
 
 
 def _engine_counts(
@@ -229,60 +229,60 @@
     )
 
 
-def _figures(
+def _summarize(
     task: Task,
     arrivals: list[_workloads.Arrival],
     deployment: _virtual.Deployment,
-    measured: Measured,
-    counted: tuple[int, int, int],
+    outcomes: Outcomes,
+    initial_counts: tuple[int, int, int],
 ) -> dict[str, object]:
     snapshot = deployment.metrics()
     loads, steps, used = (
         now - before
-        for now, before in zip(_engine_counts(deployment), counted)
+        for now, before in zip(_engine_counts(deployment), initial_counts)
     )
-    shape = task.shape
-    slots = shape.engines * shape.engine.adapter_slots
-    warm_until = task.seconds * WARM_PART
-    bound = _workloads.fewest_loads(arrivals, slots, warm_until)
+    profile = task.profile
+    slots = profile.engines * profile.engine.adapter_slots
+    warmup_end = task.seconds * WARMUP_FRACTION
+    bound = _workloads.belady_loads(arrivals, slots, warmup_end)
     stalls = _load_stalls(snapshot)
-    firsts = [
-        value for values in measured.first_s.values() for value in values
+    first_token_s = [
+        value for values in outcomes.first_s.values() for value in values
     ]
-    per_mille = 1000 / max(1, measured.asked)
+    per_mille = 1000 / max(1, outcomes.asked)
     evictions = snapshot.counter_by_name.get("evictions", 0)
     return {
-        "requests": measured.asked,
-        "answered": measured.answered,
-        "refused": dict(measured.refused),
+        "requests": outcomes.asked,
+        "answered": outcomes.answered,
+        "refused": dict(outcomes.refused),
         "load_stall_ms": stalls,
         "first_token_ms": {
-            "p50": round(percentile(firsts, 0.5) * 1000, 1),
-            "p95": round(percentile(firsts, 0.95) * 1000, 1),
-            "p99": round(percentile(firsts, 0.99) * 1000, 1),
+            "p50": round(percentile(first_token_s, 0.5) * 1000, 1),
+            "p95": round(percentile(first_token_s, 0.95) * 1000, 1),
+            "p99": round(percentile(first_token_s, 0.99) * 1000, 1),
         },
         "first_token_p99_ms_by_member": {
             member: round(percentile(values, 0.99) * 1000, 1)
-            for member, values in measured.first_s.items()
+            for member, values in outcomes.first_s.items()
         },
         "batch_efficiency": round(
-            used / max(1, steps * shape.engine.batch_slots), 4
+            used / max(1, steps * profile.engine.batch_slots), 4
         ),
         "loads_per_1000": round(loads * per_mille, 1),
         "evictions_per_1000": round(evictions * per_mille, 1),
         "belady_loads_per_1000": round(bound * per_mille, 1),
         "loads_to_belady": round(loads / max(1, bound), 3),
-        "first_token_mean_ms_by_10_s": _by_ten_seconds(measured),
+        "first_token_mean_ms_by_10_s": _by_ten_seconds(outcomes),
     }
 
 
-def _by_ten_seconds(measured: Measured) -> dict[str, float]:
-    tens: dict[int, list[float]] = collections.defaultdict(list)
-    for second, values in measured.by_second.items():
-        tens[second // 10 * 10] += values
+def _by_ten_seconds(outcomes: Outcomes) -> dict[str, float]:
+    values_by_bucket: dict[int, list[float]] = collections.defaultdict(list)
+    for second, values in outcomes.by_second.items():
+        values_by_bucket[second // 10 * 10] += values
     return {
         str(start): round(1000 * sum(values) / len(values), 1)
-        for start, values in sorted(tens.items())
+        for start, values in sorted(values_by_bucket.items())
     }
 
 
@@ -326,24 +326,26 @@
         events = ("steady",)
         seconds = min(seconds, 45.0)
     tasks = [
-        Task(shape, event, policy, seconds, _SEED.value, shape.stall_weight)
-        for shape in _workloads.SHAPES
+        Task(
+            profile, event, policy, seconds, _SEED.value, profile.stall_weight
+        )
+        for profile in _workloads.PROFILES
         for event in events
         for policy in POLICIES
     ]
-    for shape in _workloads.SHAPES if not _QUICK.value else ():
+    for profile in _workloads.PROFILES if not _QUICK.value else ():
         # The steady workload with the complementary stall weight, which is
         # the one of the other deployment.
-        other = 1.0 - shape.stall_weight
+        other = 1.0 - profile.stall_weight
         ours = Policy("ours_other_weight", "residency", "value")
         if "steady" in events:
             tasks.append(
-                Task(shape, "steady", ours, seconds, _SEED.value, other)
+                Task(profile, "steady", ours, seconds, _SEED.value, other)
             )
     return tasks
 
 
-def _ratio(by_policy: dict[str, dict]) -> dict[str, float]:
+def _ratios_to_baseline(by_policy: dict[str, dict]) -> dict[str, float]:
     """Return ratios of our policy to the best baseline and to Belady."""
     ours = by_policy["ours"]
     stalls = [by_policy[b]["load_stall_ms"]["p99"] for b in BASELINES]
@@ -360,7 +362,7 @@
 
 
 def _print_table(by_workload: dict[str, dict[str, dict]]) -> None:
-    head = (
+    header = (
         "workload",
         "policy",
         "stall p50",
@@ -374,7 +376,7 @@
         "loads/1000",
         "to Belady",
     )
-    print("  ".join(head))
+    print("  ".join(header))
     for workload, by_policy in by_workload.items():
         for policy, figures in by_policy.items():
             stall = figures["load_stall_ms"]
@@ -430,11 +432,13 @@
             print(f"{len(results)} of {len(tasks)}", file=sys.stderr)
     by_workload: dict[str, dict[str, dict]] = collections.defaultdict(dict)
     for task, figures in zip(tasks, results):
-        workload = f"{task.shape.name}/{task.event}"
+        workload = f"{task.profile.name}/{task.event}"
         by_workload[workload][task.policy.name] = figures
     _print_table(by_workload)
     _plot(by_workload, _PLOT.value)
-    ratio = {name: _ratio(rows) for name, rows in by_workload.items()}
+    ratio = {
+        name: _ratios_to_baseline(rows) for name, rows in by_workload.items()
+    }
     summary = {"by_workload": by_workload, "ratio": ratio}
     summary["stated"] = "in memory, virtual time, real decision code"
     print(json.dumps(summary))
