--- a/libs/bench/src/bergamotsail/bench/capacity.py
+++ b/libs/bench/src/bergamotsail/bench/capacity.py
@@ -424,8 +424,13 @@
         now = await system.admin(
             http, "GET", "/admin/v1/status", name=observer
         )
-        found = next(t for t in now["targets"] if t["info"]["id"] == target)
-        return (found["owner"] or "").partition("#")[0] not in ("", owner)
+        target_status = next(
+            t for t in now["targets"] if t["info"]["id"] == target
+        )
+        return (target_status["owner"] or "").partition("#")[0] not in (
+            "",
+            owner,
+        )
 
     await system.eventually(taken_over, "the target to be taken over")
     elapsed_s = time.perf_counter() - started
@@ -455,14 +460,14 @@
         http, "GET", "/admin/v1/status", name=system.daemons[-1]
     )
     leader = _leader_of(system, status)
-    left = [name for name in system.daemons if name != leader]
+    remaining = [name for name in system.daemons if name != leader]
     system.kill(leader)
     started = time.perf_counter()
     value = {"token_sha256": catalogue.hash_token("x")}
 
     async def accepted() -> bool:
         try:
-            await system.put(http, "member", "third", value, left[-1])
+            await system.put(http, "member", "third", value, remaining[-1])
         except wire.ServingError:
             return False
         return True
--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -86,7 +86,7 @@
         default_factory=collections.Counter
     )
     answered: int = 0
-    asked: int = 0
+    requests: int = 0
     by_second: dict[int, list[float]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
@@ -133,7 +133,7 @@
         code = error.code
     if outcomes is None:
         return
-    outcomes.asked += 1
+    outcomes.requests += 1
     if code:
         outcomes.refused[code] += 1
         return
@@ -249,10 +249,10 @@
     first_token_s = [
         value for values in outcomes.first_s.values() for value in values
     ]
-    per_mille = 1000 / max(1, outcomes.asked)
+    per_mille = 1000 / max(1, outcomes.requests)
     evictions = snapshot.counter_by_name.get("evictions", 0)
     return {
-        "requests": outcomes.asked,
+        "requests": outcomes.requests,
         "answered": outcomes.answered,
         "refused": dict(outcomes.refused),
         "load_stall_ms": stalls,
@@ -272,11 +272,11 @@
         "evictions_per_1000": round(evictions * per_mille, 1),
         "belady_loads_per_1000": round(bound * per_mille, 1),
         "loads_to_belady": round(loads / max(1, bound), 3),
-        "first_token_mean_ms_by_10_s": _by_ten_seconds(outcomes),
+        "first_token_mean_ms_by_10_s": _first_token_mean_ms_by_10_s(outcomes),
     }
 
 
-def _by_ten_seconds(outcomes: Outcomes) -> dict[str, float]:
+def _first_token_mean_ms_by_10_s(outcomes: Outcomes) -> dict[str, float]:
     values_by_bucket: dict[int, list[float]] = collections.defaultdict(list)
     for second, values in outcomes.by_second.items():
         values_by_bucket[second // 10 * 10] += values
