--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -31,7 +31,7 @@
 # targets three times more.
 CONTACT_S = 3.0
 MOST_AFTER = 3
-MOST_ENDS = 3
+MAX_ENDS = 3
 
 
 @dataclasses.dataclass(slots=True)
@@ -163,7 +163,7 @@
         return ()
 
 
-class _Answer(routing.CallerAnswer):
+class _Answer(routing.AnswerWriter):
     """Takes an answer."""
 
     def __init__(self) -> None:
@@ -187,7 +187,7 @@
         return None
 
 
-class _Entry(control.Bystander):
+class _Entry(control.PassiveParticipant):
     """One entry: its session and its forwarder."""
 
     def __init__(self, world: "World", number: int, start: int = 1) -> None:
@@ -207,8 +207,8 @@
         self.forwarder = routing.Forwarder(
             self.session,
             self.places,
-            routing.ServiceChoice(datacentre, random.Random(number)),
-            routing.RepeatBudgets(10.0, 1e6, lambda: 3),
+            routing.ServiceBalancer(datacentre, random.Random(number)),
+            routing.ResendBudgets(10.0, 1e6, lambda: 3),
             world.make_http(number),
             world.dialect,
             observe.Metrics(),
@@ -233,7 +233,7 @@
         return tuple(t.listed() for t in self._world.targets if t.up)
 
 
-class World(growth.Deployed):
+class World(growth.DeployedReplicas):
     """Replicas, entries and targets; an async context manager."""
 
     def __init__(
@@ -349,7 +349,7 @@
     def faults(self, body: bytes, most: int = MOST_AFTER) -> list[str]:
         """Say whether a request reached targets too often."""
         ends = [end.at for end in self.ended if end.body == body]
-        third = sorted(ends)[MOST_ENDS - 1] if len(ends) >= MOST_ENDS else None
+        third = sorted(ends)[MAX_ENDS - 1] if len(ends) >= MAX_ENDS else None
         if third is None:
             return [f"only {len(ends)} targets ended under it"]
         late = [
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -97,8 +97,8 @@
             absent or head.status == 503,
             absent,
             True,
-            targets.read_flag(head.all(LEAVING)),
-            targets.read_seconds(head.all(PAUSE)),
+            targets.parse_flag(head.all(LEAVING)),
+            targets.parse_seconds(head.all(PAUSE)),
         )
 
 
@@ -355,7 +355,7 @@
 
 
 async def _granted(
-    say: collections.abc.Callable[[control.Heard, str, float], None],
+    say: collections.abc.Callable[[control.TargetNotices, str, float], None],
     wait_s: float = 0.0,
 ) -> tuple[list[str], _Granting, float]:
     """Ask for an engine that says something while a place is waited for."""
@@ -393,7 +393,7 @@
 async def leaving_while_a_place_is_waited_for() -> list[str]:
     """A place that was granted before is given back, and another used."""
     reached, granting, _ = await _granted(
-        lambda heard, target, now: heard.leaves(target), 0.4
+        lambda heard, target, now: heard.note_leaving(target), 0.4
     )
     faults = []
     if len(granting.given) != 2 or reached != [granting.given[1]]:
@@ -491,24 +491,42 @@
 
 # Guards, each switched off where its scenario must notice.
 
-Heard = control.Heard
+TargetNotices = control.TargetNotices
 GUARDS: tuple[tuple[str, str, object, str, object], ...] = (
-    ("leaving", "leaving_while_cut_off", Heard, "leaves", lambda *_: False),
-    ("told", "leaving_ahead_of_the_list", Heard, "untold", lambda *_: ()),
-    ("told again", "leaving_over_a_leader", Heard, "untold", lambda *_: ()),
-    ("pause", "paused", Heard, "pause_left_s", lambda *_: 0.0),
+    (
+        "leaving",
+        "leaving_while_cut_off",
+        TargetNotices,
+        "note_leaving",
+        lambda *_: False,
+    ),
+    (
+        "told",
+        "leaving_ahead_of_the_list",
+        TargetNotices,
+        "unreported",
+        lambda *_: (),
+    ),
+    (
+        "told again",
+        "leaving_over_a_leader",
+        TargetNotices,
+        "unreported",
+        lambda *_: (),
+    ),
+    ("pause", "paused", TargetNotices, "pause_left_s", lambda *_: 0.0),
     (
         "at the moment of sending",
         "leaving_while_a_place_is_waited_for",
         routing.Forwarder,
-        "_check_open",
+        "_check_accepting",
         lambda *_: None,
     ),
     (
         "waiting",
         "all_paused",
         routing.Forwarder,
-        "_pauses_s",
+        "_remaining_pauses_s",
         lambda *_: [math.inf],
     ),
 )
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -27,7 +27,7 @@
 from features.support import ledger
 
 CRASH_S = fatal_world.CRASH_S
-MOST_ENDS = fatal_world.MOST_ENDS
+MAX_ENDS = fatal_world.MAX_ENDS
 MOST_AFTER = fatal_world.MOST_AFTER
 POOL = fatal_world.POOL
 
@@ -127,7 +127,7 @@
     for number in range(5_000):
         many = quarantine.Observation("x", f"m{number}", POOL, "t1", 1.0)
         counter.take(many, 102.0)
-    most = _ends.MOST_BY_MEMBER * _ends.MOST_MEMBERS
+    most = _ends.MAX_SUSPECTS_PER_MEMBER * _ends.MAX_MEMBERS
     return faults + (
         [f"{len(counter)} are kept"] if len(counter) > most else []
     )
@@ -232,7 +232,7 @@
         world.fatal = {b"bad"}
         await world.ask(b"bad")
         ended = len(world.ended)
-        return [f"{ended} ended"] if ended > MOST_ENDS else []
+        return [f"{ended} ended"] if ended > MAX_ENDS else []
 
 
 async def beside_it() -> list[str]:
@@ -302,16 +302,16 @@
         world.fatal = {b"bad"}
         await world.ask_again(b"bad", 5)
         ended = len(world.ended)
-        await asyncio.sleep(_quarantine.hold_s(MOST_ENDS) + 1.0)
+        await asyncio.sleep(_quarantine.hold_s(MAX_ENDS) + 1.0)
         await world.ask_again(b"bad", 4)
         faults = []
         if len(world.ended) != ended + 1:
             faults.append(f"{len(world.ended) - ended} ended, not 1, later")
-        await asyncio.sleep(_quarantine.hold_s(MOST_ENDS) + 1.0)
+        await asyncio.sleep(_quarantine.hold_s(MAX_ENDS) + 1.0)
         if await world.ask(b"bad") != "quarantined":
             faults.append("it was not held for longer")
         world.fatal = set()
-        await asyncio.sleep(_quarantine.hold_s(MOST_ENDS) + 1.0)
+        await asyncio.sleep(_quarantine.hold_s(MAX_ENDS) + 1.0)
         got = await world.ask_again(b"bad", 3)
         if got != ["served"] * 3 or world.held():
             faults.append(f"mended, it got {got}")
@@ -362,7 +362,7 @@
 
     A daemon tells a later leader of it before it has heard of the verdict.
     """
-    value = wire.encode(catalogue.Quarantine("m1", POOL, MOST_ENDS)).decode()
+    value = wire.encode(catalogue.Quarantine("m1", POOL, MAX_ENDS)).decode()
     view = catalogue.View()
     view.apply(catalogue.Effect(7, catalogue.Kind.QUARANTINE, "id", value))
     commands = []
@@ -480,7 +480,7 @@
     """Put a suspect last; the oldest makes room."""
     own.drop(identity)
     own.once[identity] = suspect
-    if len(own) <= _ends.MOST_BY_MEMBER:
+    if len(own) <= _ends.MAX_SUSPECTS_PER_MEMBER:
         return None
     return own.once.popitem(last=False)[0]
 
@@ -499,7 +499,7 @@
     (
         "never refuse",
         "comes_again",
-        (_fatal.FatalGuard, "check", lambda *_: None),
+        (_fatal.QuarantineGuard, "check", lambda *_: None),
     ),
     (
         "keep nothing in the log",
@@ -519,17 +519,17 @@
     (
         "count each target of a rack",
         "one_event_counts_once",
-        (_ends, "SEPARATE_S", -1.0),
+        (_ends, "COINCIDENCE_WINDOW_S", -1.0),
     ),
     (
         "never clear",
         "popular_in_a_rack",
-        (_fatal.FatalGuard, "served", lambda *_: None),
+        (_fatal.QuarantineGuard, "served", lambda *_: None),
     ),
     (
         "run copies side by side",
         "at_all_at_once",
-        (_quarantine.Quarantine, "run_alone", _always),
+        (_quarantine.Quarantine, "acquire_exclusive", _always),
     ),
     (
         "let what was lost once push out what was lost again",
@@ -539,7 +539,7 @@
     (
         "send one attempt on and on",
         "within_one_attempt",
-        (quarantine, "MOST_ENDS", 100),
+        (quarantine, "MAX_ENDS", 100),
     ),
     (
         "tell again what was judged",
@@ -568,5 +568,5 @@
 def run_mutant(number: int) -> list[str]:
     """Run a scenario with its guard switched off."""
     _, scenario, guard = MUTANTS[number]
-    with ledger.switched_off(guard):
+    with ledger.disabled_guard(guard):
         return run_scenario(scenario)
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -23,13 +23,13 @@
 CALLS = 500
 
 
-class _Told(quorum.Witness):
+class _Told(quorum.ElectionObserver):
     """Keeps what one replica tells."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
 
-    def saw(self, what: str, fields: dict[str, object]) -> None:
+    def on_election_event(self, what: str, fields: dict[str, object]) -> None:
         self.lines.append((what, fields))
 
     def of(self, kind: str, **wanted: object) -> list[dict]:
@@ -48,7 +48,7 @@
     await asyncio.sleep(1.0)
     told = {}
     for address, node in replicas.node_by_address.items():
-        node.witness = told[address] = _Told()
+        node.election_observer = told[address] = _Told()
     return replicas, told
 
 
@@ -88,7 +88,7 @@
         if node is not leader
     )
     term = leader.term
-    await node._stand(False)
+    await node._run_election(False)
     faults = []
     stands = told[node.member.address].of("stand", end="no word")
     if len(stands) != 1:
@@ -120,12 +120,12 @@
 async def _block() -> str:
     metrics = observe.Metrics()
     lag = daemon.LoopLag()
-    async with lag, daemon.Vitals(lag, metrics) as vitals:
+    async with lag, daemon.ProcessMonitor(lag, metrics) as vitals:
         await asyncio.sleep(0.3)
         _spin(BLOCKED_S)
         gc.collect()
         # Before the loop could look at how late it is.
-        vitals.saw("role", {"is": "leads no more"})
+        vitals.on_election_event("role", {"is": "leads no more"})
         await asyncio.sleep(1.0)
     return observe.as_text(metrics.snapshot())
 
@@ -157,13 +157,13 @@
     server.serve(call, dict, shed_after_s=0.1)
     lag = daemon.LoopLag()
     lag.now_s = 0.2
-    face = daemon.PeerFace(server, "token", lag, metrics)
+    face = daemon.PeerEndpoint(server, "token", lag, metrics)
     began_at = time.monotonic()
     with observe.EventLog("r1", written):
         for _ in range(CALLS):
             try:
                 face._check_lag(call.name)
-            except wire.BehindError:
+            except wire.LoadShedError:
                 continue
     most = 1 + (time.monotonic() - began_at)
     lines = _lines(written, "shed")
@@ -246,11 +246,11 @@
 async def _some_calls() -> None:
     metrics = observe.Metrics()
     lag = daemon.LoopLag()
-    async with lag, daemon.Vitals(lag, metrics, role="entry"):
+    async with lag, daemon.ProcessMonitor(lag, metrics, role="entry"):
         observe.count_message(metrics, "place", received=10, sent=20)
         with observe.spent(metrics, "place"):
             _spin(0.01)
-        await asyncio.sleep(_vitals.WORK_LINE_S + 0.5)
+        await asyncio.sleep(_vitals.WORK_LOG_INTERVAL_S + 0.5)
 
 
 def _work_told() -> list[str]:
--- a/libs/bench/src/bergamotsail/bench/_virtual.py
+++ b/libs/bench/src/bergamotsail/bench/_virtual.py
@@ -117,7 +117,7 @@
         settings = settings_lib.parse(
             json.dumps(values | self.settings.daemon)
         )
-        external = daemon_lib.Outside(
+        external = daemon_lib.Dependencies(
             standins.MemoryTransport(self.network, address),
             lambda at: standins.MemoryEngine(
                 self.engine_by_address[at], self._link
--- a/libs/standins/src/bergamotsail/standins/_engine.py
+++ b/libs/standins/src/bergamotsail/standins/_engine.py
@@ -180,7 +180,7 @@
         if name in self._loading:
             raise wire.EngineError(
                 f"Adapter {name} is already being loaded.",
-                ran=wire.Ran.UNKNOWN,
+                ran=wire.RunStatus.UNKNOWN,
             )
         used = len(self.residents) + len(self._loading)
         if used >= self.settings.adapter_slots:
@@ -246,7 +246,7 @@
         if other and self.settings.checks_incarnation:
             raise wire.EngineError(
                 "The run is for another incarnation of this engine.",
-                ran=wire.Ran.NOT_RUN,
+                ran=wire.RunStatus.NOT_RUN,
             )
         if run.resume_after is not None:
             sequence = self._sequence_by_stream.get(run.stream_id)
@@ -258,7 +258,8 @@
             run = dataclasses.replace(run, adapter=held)
         elif run.adapter not in self.residents:
             raise wire.EngineError(
-                f"Adapter {run.adapter} is not resident.", ran=wire.Ran.NOT_RUN
+                f"Adapter {run.adapter} is not resident.",
+                ran=wire.RunStatus.NOT_RUN,
             )
         sequence = _Sequence(run, len(self.runs_by_stream))
         self._sequence_by_stream[run.stream_id] = sequence
@@ -275,7 +276,7 @@
     def _check_epoch(self, epoch: int) -> None:
         if epoch < self._highest_epoch:
             if self.settings.refuses_old:
-                raise wire.StaleOrderError(
+                raise wire.StaleFencingTokenError(
                     f"Fencing token {epoch} is lower than "
                     f"{self._highest_epoch}."
                 )
--- a/libs/standins/src/bergamotsail/standins/_memory.py
+++ b/libs/standins/src/bergamotsail/standins/_memory.py
@@ -149,7 +149,9 @@
                     request.body,
                 )
         except TimeoutError:
-            raise wire.PeerSilentError("The service did not answer.") from None
+            raise wire.PeerTimeoutError(
+                "The service did not answer."
+            ) from None
         await self._link.deliver_reply()
         return reply
 
