--- a/libs/standins/src/bergamotsail/standins/_others.py
+++ b/libs/standins/src/bergamotsail/standins/_others.py
@@ -22,12 +22,14 @@
         self.load_s = load_s
         self.fault: wire.ServingError | None = None
         self.fetches = 0
-        self.most_at_once = 0
+        self.max_concurrent_fetches = 0
         self._active = 0
 
     async def fetch(self, weights: str) -> None:
         self._active += 1
-        self.most_at_once = max(self.most_at_once, self._active)
+        self.max_concurrent_fetches = max(
+            self.max_concurrent_fetches, self._active
+        )
         left_s = self.load_s
         try:
             while left_s > 1e-9:
