--- a/libs/bench/src/bergamotsail/bench/_client.py
+++ b/libs/bench/src/bergamotsail/bench/_client.py
@@ -1,4 +1,4 @@
-"""A caller as members run it: looks up, keeps the answer, connects."""
+"""A reference client: looks up addresses, caches them and connects."""
 
 import asyncio
 import dataclasses
@@ -11,12 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What a request came to.
+    """Outcome of a request.
 
     Args:
-        code: the error's code, "" for a whole answer.
-        ran: as the error said.
+        model: model that the last chunk names.
+        code: error code, "" for a complete answer.
+        ran: whether the work ran, as the error states it.
         first_s: seconds to the first token.
+        total_s: seconds to the end of the stream.
+        last_event: id of the last server-sent event.
+        replayed: whether the reply is the stored one of an earlier call.
     """
 
     text: str = ""
@@ -32,10 +36,10 @@
 
 
 class Client:
-    """A caller of one member.
+    """A client with the token of one member.
 
     Args:
-        addresses: instances to ask first.
+        addresses: daemons to ask for the addresses of models and services.
     """
 
     def __init__(
@@ -44,14 +48,18 @@
         self._http = http
         self._addresses = addresses
         self._token = token
-        self._kept_by_name: dict[tuple[str, str], tuple[float, list[str]]] = {}
+        self._cache: dict[tuple[str, str], tuple[float, list[str]]] = {}
 
     async def where(self, kind: str, name: str) -> list[str]:
-        """Return addresses for a model or service, from the kept answer."""
+        """Return addresses for a model or service, from the cache if fresh.
+
+        If every lookup fails, returns the expired answer, or else the
+        configured addresses.
+        """
         now = time.monotonic()
-        until, kept = self._kept_by_name.get((kind, name), (0.0, []))
-        if now < until and kept:
-            return kept
+        expires_at, cached = self._cache.get((kind, name), (0.0, []))
+        if now < expires_at and cached:
+            return cached
         query = urllib.parse.urlencode({kind: name})
         for address in self._addresses:
             request = wire.HttpRequest(
@@ -66,17 +74,17 @@
             if reply.status == 200:
                 answer = json.loads(reply.body)
                 found = answer["addresses"] or [address]
-                keep_until = now + answer["keep_s"]
-                self._kept_by_name[(kind, name)] = (keep_until, found)
+                new_expiry = now + answer["keep_s"]
+                self._cache[(kind, name)] = (new_expiry, found)
                 return found
-        return kept or self._addresses
+        return cached or self._addresses
 
-    def forget(self) -> None:
-        """Drop all kept answers."""
-        self._kept_by_name.clear()
+    def clear_cache(self) -> None:
+        """Clear the address cache."""
+        self._cache.clear()
 
-    def _headers(self, **more: str) -> dict[str, str]:
-        return {"Authorization": f"Bearer {self._token}"} | more
+    def _headers(self, **extra: str) -> dict[str, str]:
+        return {"Authorization": f"Bearer {self._token}"} | extra
 
     async def complete(
         self,
@@ -87,10 +95,10 @@
         headers: dict[str, str] | None = None,
         address: str | None = None,
     ) -> Result:
-        """Ask a model and read its streamed answer.
+        """Request a completion and read the streamed answer.
 
-        A refusal that says *not run*, or a connection that never stood, is
-        tried at the next address until the deadline.
+        The error codes ``cut_off``, ``stopping`` and ``not_sent`` are retried
+        at the next address until the deadline. Other outcomes are returned.
         """
         started = time.monotonic()
         result = Result(code="unreachable", ran="not_run")
@@ -104,7 +112,7 @@
                 )
                 if result.code not in ("cut_off", "stopping", "not_sent"):
                     return result
-                self.forget()
+                self.clear_cache()
             await asyncio.sleep(0.2)
         return result
 
@@ -117,7 +125,7 @@
         deadline_s: float,
         headers: dict[str, str] | None,
     ) -> Result:
-        """Ask a model at this address, once."""
+        """Request a completion from one address, without retries."""
         body = {
             "model": model,
             "prompt": prompt,
@@ -151,18 +159,18 @@
         address: str | None = None,
         headers: dict[str, str] | None = None,
     ) -> Result:
-        """Call a service, once, at the first address."""
+        """Call a service at its first address, without retries."""
         addresses = (
             [address] if address else await self.where("service", service)
         )
-        more = {"X-Deadline-Ms": str(int(deadline_s * 1000))}
+        extra = {"X-Deadline-Ms": str(int(deadline_s * 1000))}
         if key is not None:
-            more["Idempotency-Key"] = key
+            extra["Idempotency-Key"] = key
         request = wire.HttpRequest(
             f"http://{addresses[0]}/v1/services/{service}{path}",
             method,
             body if method != "GET" else None,
-            self._headers(**more) | (headers or {}),
+            self._headers(**extra) | (headers or {}),
             timeout_s=deadline_s + 5,
             connect_timeout_s=2.0,
         )
--- a/libs/bench/src/bergamotsail/bench/_virtual.py
+++ b/libs/bench/src/bergamotsail/bench/_virtual.py
@@ -1,7 +1,7 @@
 """A deployment in one process and virtual time, with the real daemons.
 
-Only disks, the network between daemons and the targets are stand-ins, at
-the product's own interfaces.
+Only the disks, the network between daemons, the instance list and the
+targets are replaced by fakes, which implement the interfaces of the product.
 """
 
 import asyncio
@@ -26,11 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """Sizes of a deployment.
+    """Size, timing and extra settings of a deployment.
 
     Args:
-        load_s: seconds for one load, one at a time.
-        daemon: settings added to every daemon's.
+        load_s: seconds for one load when it is the only one.
+        daemon: settings that extend or override those of each daemon.
+        seed: seed of the network, the disks and the daemons.
     """
 
     members: tuple[str, ...]
@@ -45,7 +46,7 @@
 
 
 class Deployment:
-    """Daemons and engines; an async context manager."""
+    """Daemons and engines of a deployment; an async context manager."""
 
     def __init__(self, settings: DeploymentSettings) -> None:
         self.settings = settings
@@ -70,7 +71,7 @@
         for number, address in enumerate(addresses):
             await self._start(number, address, addresses[:3])
         await self.daemon(0).node.form()
-        await self._wait(self._all_fresh)
+        await self._wait_until(self._all_have_leases)
         await self._create_entries()
         await asyncio.sleep(SETTLE_S)
         return self
@@ -79,21 +80,21 @@
         await self._stack.aclose()
 
     def daemon(self, number: int) -> daemon_lib.Daemon:
-        """Return a daemon by number."""
+        """Return a running daemon by its position."""
         return list(self.daemon_by_address.values())[number]
 
     def publish(self) -> None:
-        """Set the instance list."""
-        centres = self.settings.datacentres
+        """Publish all engines in the instance list."""
+        datacentres = self.settings.datacentres
         listed = []
         for number, address in enumerate(self.engine_by_address):
             name = f"runner-{number}"
             state = targets.InstanceState.LIVE
             if name in self.leaving:
                 state = targets.InstanceState.LEAVING
-            centre = centres[number % len(centres)]
+            datacentre = datacentres[number % len(datacentres)]
             listed.append(
-                targets.Instance(name, "llm", address, centre, state)
+                targets.Instance(name, "llm", address, datacentre, state)
             )
         self.instances.set(tuple(listed))
 
@@ -116,7 +117,7 @@
         settings = settings_lib.parse(
             json.dumps(values | self.settings.daemon)
         )
-        outside = daemon_lib.Dependencies(
+        external = daemon_lib.Dependencies(
             standins.MemoryTransport(self.network, address),
             lambda at: standins.MemoryEngine(
                 self.engine_by_address[at], self._link
@@ -126,29 +127,31 @@
             disk,
             random.Random(self.rng.random()),
         )
-        daemon = daemon_lib.Daemon(settings, outside)
+        daemon = daemon_lib.Daemon(settings, external)
         self.network.join(address, daemon.server)
         self.daemon_by_address[address] = daemon
         await daemon.__aenter__()
-        self._stack.push_async_callback(self.lose, address)
+        self._stack.push_async_callback(self.kill, address)
 
-    async def lose(self, address: str) -> None:
-        """End a daemon without warning."""
+    async def kill(self, address: str) -> None:
+        """Kill a daemon without a graceful shutdown."""
         daemon = self.daemon_by_address.pop(address, None)
         if daemon is not None:
             self.network.kill(address)
             await daemon.__aexit__(None, None, None)
 
     async def stop(self, address: str) -> None:
-        """End a daemon as planned."""
+        """Shut a daemon down gracefully."""
         await self.daemon_by_address[address].stop()
-        await self.lose(address)
+        await self.kill(address)
 
-    def _all_fresh(self) -> bool:
+    def _all_have_leases(self) -> bool:
         daemons = self.daemon_by_address.values()
         return all(daemon.session.fresh() for daemon in daemons)
 
-    async def _wait(self, check: collections.abc.Callable[[], bool]) -> None:
+    async def _wait_until(
+        self, check: collections.abc.Callable[[], bool]
+    ) -> None:
         while not check():
             await asyncio.sleep(POLL_S)
 
@@ -188,11 +191,11 @@
             await asyncio.sleep(POLL_S)
 
     def reset_metrics(self) -> None:
-        """Forget all metrics, as after a warm-up."""
+        """Reset the metrics of all daemons, to exclude a warm-up."""
         for daemon in self.daemon_by_address.values():
             daemon.metrics.reset()
 
     def metrics(self) -> observe.MetricsSnapshot:
-        """Return the metrics of all daemons, merged."""
+        """Return the merged metrics of all running daemons."""
         daemons = self.daemon_by_address.values()
         return observe.merge([d.metrics.snapshot() for d in daemons])
--- a/libs/bench/src/bergamotsail/bench/demo.py
+++ b/libs/bench/src/bergamotsail/bench/demo.py
@@ -1,4 +1,4 @@
-"""Start a small deployment, load it, and report."""
+"""Run a small deployment under load and report its metrics."""
 
 import asyncio
 import collections
@@ -18,19 +18,28 @@
 from bergamotsail import standins
 from bergamotsail import wire
 
-_SECONDS = flags.DEFINE_float("seconds", 20.0, "Seconds of load.")
+_SECONDS = flags.DEFINE_float(
+    "seconds", 20.0, "Duration of the load in seconds."
+)
 _REQUESTS = flags.DEFINE_integer("requests", 300, "Model requests to send.")
-_ADAPTERS = flags.DEFINE_integer("adapters", 60, "Adapters in all.")
+_ADAPTERS = flags.DEFINE_integer("adapters", 60, "Total number of adapters.")
 
 MEMBERS = ("tahi", "lakeshore")
 SKEW = 1.1
-CALLS = 60
+SERVICE_CALLS = 60
 TOKENS = 12
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """What came of the load."""
+class Outcomes:
+    """Counts of request outcomes.
+
+    Args:
+        wrong_adapter: answers with the text of another adapter or version.
+        lost: failures after which it is unknown whether the work ran.
+        keys: idempotency keys of all service calls.
+        answered_keys: idempotency keys of the answered service calls.
+    """
 
     requests: int = 0
     answered: int = 0
@@ -75,12 +84,12 @@
 
 
 class Load:
-    """A skewed load of two members, models and service calls."""
+    """Load of two members: model requests with Zipf skew, service calls."""
 
     def __init__(
         self, system: bench.System, http: wire.HttpClient, adapters: int
     ) -> None:
-        self.tally = Tally()
+        self.outcomes = Outcomes()
         self._random = random.Random(7)
         self._adapters = adapters
         self._clients = {
@@ -89,59 +98,59 @@
         }
 
     async def run(self, seconds: float, requests: int) -> None:
-        """Send all at even distances and wait for the answers."""
+        """Send requests at a constant rate and wait for all answers."""
         weights = [1 / (rank + 1) ** SKEW for rank in range(self._adapters)]
         tasks = []
         started = time.monotonic()
-        every = max(1, requests // CALLS)
+        call_interval = max(1, requests // SERVICE_CALLS)
         for number in range(requests):
             due = started + number * seconds / requests
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             chosen = self._random.choices(range(self._adapters), weights)[0]
             tasks.append(asyncio.create_task(self._complete(chosen, number)))
-            if number % every == 0:
+            if number % call_interval == 0:
                 tasks.append(asyncio.create_task(self._call(number)))
         await asyncio.gather(*tasks)
 
     async def _complete(self, adapter: int, number: int) -> None:
-        tally = self.tally
-        tally.requests += 1
+        outcomes = self.outcomes
+        outcomes.requests += 1
         client = self._clients[MEMBERS[adapter % 2]]
         prompt = f"hem {number % 50}"
         name = f"adapter-{adapter}"
         result = await client.complete(name, prompt, TOKENS)
         if result.code:
-            tally.refused[result.code] += 1
+            outcomes.refused[result.code] += 1
             if result.ran == "unknown":
-                tally.lost += 1
+                outcomes.lost += 1
             return
-        tally.answered += 1
-        wanted = standins.expected_text(f"{name}@v1", prompt, TOKENS)
-        if result.text != wanted or result.model != f"{name}@v1":
-            tally.wrong_adapter += 1
+        outcomes.answered += 1
+        expected = standins.expected_text(f"{name}@v1", prompt, TOKENS)
+        if result.text != expected or result.model != f"{name}@v1":
+            outcomes.wrong_adapter += 1
 
     async def _call(self, number: int) -> None:
-        tally = self.tally
-        tally.requests += 1
+        outcomes = self.outcomes
+        outcomes.requests += 1
         member = MEMBERS[number % 2]
         key = f"{int(time.time())}-{uuid.uuid4()}"
-        tally.keys.add(key)
+        outcomes.keys.add(key)
         result = await self._clients[member].call(
             f"{member}-app", f"/pickups/{number}", key=key
         )
         if result.code:
-            tally.refused[result.code] += 1
+            outcomes.refused[result.code] += 1
             if result.ran == "unknown":
-                tally.lost += 1
+                outcomes.lost += 1
             return
-        tally.answered += 1
-        tally.answered_keys.append(key)
+        outcomes.answered += 1
+        outcomes.answered_keys.append(key)
 
 
 async def count_runs(
     system: bench.System, http: wire.HttpClient
 ) -> collections.Counter:
-    """Return how often each idempotency key ran, over all services."""
+    """Return the executions per idempotency key, over all services."""
     total: collections.Counter = collections.Counter()
     for name in system.services:
         address = system.by_name[name].address
@@ -154,7 +163,7 @@
 async def read_metrics(
     system: bench.System, http: wire.HttpClient
 ) -> observe.MetricsSnapshot:
-    """Return the metrics of all daemons, merged."""
+    """Return the merged metrics of all daemons."""
     snapshots = []
     for name in system.daemons:
         answer = await system.admin(
@@ -169,7 +178,7 @@
 async def batch_efficiency(
     system: bench.System, http: wire.HttpClient
 ) -> float:
-    """Return used slots over slots, over all engine steps made."""
+    """Return used batch slots as a fraction of all, over all engine steps."""
     used = 0
     slots = 0
     for name in system.engines:
@@ -182,7 +191,7 @@
 
 
 def load_stalls_ms(snapshot: observe.MetricsSnapshot) -> dict[str, float]:
-    """Return the load stall of all members and classes together."""
+    """Return load stall percentiles over all members and entry classes."""
     stalls = [
         observe.MetricsSnapshot({"load_stall": encoded}, {})
         for name, encoded in snapshot.histogram_by_name.items()
@@ -193,7 +202,7 @@
 
 
 def print_report(shown: dict[str, dict[str, float]]) -> None:
-    """Print what the daemons measured, merged over all of them."""
+    """Print a table of the merged metrics."""
     print(f"{'measure':62} {'count':>6} {'p50 ms':>8} {'p99 ms':>8}")
     for name, values in shown.items():
         p50 = values.get("p50_ms", "")
@@ -205,7 +214,7 @@
     """Run the demonstration and return its figures."""
     settings = bench.SystemSettings(engine={"adapter_slots": 8})
     with bench.System(settings) as system, wire.HttpClient() as http:
-        print(f"Starting {len(settings.datacentres)} data centres in small.")
+        print(f"Starting {len(settings.datacentres)} simulated data centres.")
         await system.start(http)
         print("Creating catalogue entries.")
         await create_entries(system, http, _ADAPTERS.value)
@@ -215,18 +224,20 @@
         runs = await count_runs(system, http)
         snapshot = await read_metrics(system, http)
         efficiency = await batch_efficiency(system, http)
-    tally = load.tally
+    outcomes = load.outcomes
     print_report(observe.readable(snapshot))
     return {
-        "requests": tally.requests,
-        "answered": tally.answered,
-        "refused": sum(tally.refused.values()),
-        "refused_by_code": dict(tally.refused),
-        "wrong_adapter": tally.wrong_adapter,
-        "lost": tally.lost
-        + sum(runs[key] == 0 for key in tally.answered_keys),
+        "requests": outcomes.requests,
+        "answered": outcomes.answered,
+        "refused": sum(outcomes.refused.values()),
+        "refused_by_code": dict(outcomes.refused),
+        "wrong_adapter": outcomes.wrong_adapter,
+        "lost": outcomes.lost
+        + sum(runs[key] == 0 for key in outcomes.answered_keys),
         "doubled": sum(
-            count > 1 for key, count in runs.items() if key in load.tally.keys
+            count > 1
+            for key, count in runs.items()
+            if key in load.outcomes.keys
         ),
         "load_stall_ms": load_stalls_ms(snapshot),
         "batch_efficiency": round(efficiency, 4),
--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -1,4 +1,7 @@
-"""Measure policies on seeded workloads, in virtual time."""
+"""Benchmark routing and placement policies in virtual time.
+
+The workloads are seeded, so that a run is reproducible.
+"""
 
 import asyncio
 import collections
@@ -22,21 +25,25 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-_QUICK = flags.DEFINE_bool("quick", False, "Steady workloads only, shorter.")
-_JOBS = flags.DEFINE_integer("jobs", 7, "Processes.")
-_SEED = flags.DEFINE_integer("seed", 1, "Seed of the workloads.")
+_QUICK = flags.DEFINE_bool(
+    "quick", False, "Run only the steady workloads, for at most 45 s."
+)
+_JOBS = flags.DEFINE_integer("jobs", 7, "Number of worker processes.")
+_SEED = flags.DEFINE_integer("seed", 1, "Seed of workloads and deployments.")
 _SECONDS = flags.DEFINE_float("seconds", 75.0, "Virtual seconds of load.")
-_PLOT = flags.DEFINE_string("plot", "build/bench.svg", "Where to plot.")
-_EVENTS = flags.DEFINE_list("events", None, "Only these workloads.")
+_PLOT = flags.DEFINE_string("plot", "build/bench.svg", "Path of the SVG plot.")
+_EVENTS = flags.DEFINE_list(
+    "events", None, "Workload events to run; default: all."
+)
 
-WARM_PART = 1 / 3
+WARMUP_FRACTION = 1 / 3
 DEADLINE_S = 30.0
 BASELINES = ("least_loaded", "hash")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """A way to route and place, by its settings."""
+    """A pair of routing and placement settings to compare."""
 
     name: str
     routing: str
@@ -52,9 +59,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """One run: a deployment, a workload, a policy and a weight."""
+    """One benchmark run."""
 
-    shape: _workloads.Shape
+    profile: _workloads.DeploymentProfile
     event: str
     policy: Policy
     seconds: float
@@ -63,8 +70,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Measured:
-    """What each request came to, by member."""
+class Outcomes:
+    """Request outcomes after the warm-up.
+
+    Args:
+        first_s: seconds to the first token, by member.
+        refused: failed requests by error code.
+        by_second: seconds to the first token, by second of arrival.
+    """
 
     first_s: dict[str, list[float]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
@@ -73,25 +86,25 @@
         default_factory=collections.Counter
     )
     answered: int = 0
-    asked: int = 0
+    requests: int = 0
     by_second: dict[int, list[float]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
 
 
-def percentile(values: list[float], part: float) -> float:
-    """Return a percentile of values, 0 when there are none."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return the value at a rank from 0 to 1, or 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-async def _ask(
+async def _request_completion(
     deployment: _virtual.Deployment,
     arrival: _workloads.Arrival,
     client_s: float,
-    measured: Measured | None,
+    outcomes: Outcomes | None,
 ) -> None:
     members = deployment.settings.members
     member = members[arrival.adapter % len(members)]
@@ -118,21 +131,21 @@
                     first = loop.time() - started + client_s
     except wire.ServingError as error:
         code = error.code
-    if measured is None:
+    if outcomes is None:
         return
-    measured.asked += 1
+    outcomes.requests += 1
     if code:
-        measured.refused[code] += 1
+        outcomes.refused[code] += 1
         return
-    measured.answered += 1
-    measured.first_s[member].append(first or 0.0)
-    measured.by_second[int(arrival.at)].append(first or 0.0)
+    outcomes.answered += 1
+    outcomes.first_s[member].append(first or 0.0)
+    outcomes.by_second[int(arrival.at)].append(first or 0.0)
 
 
-async def _events(
+async def _inject_event(
     deployment: _virtual.Deployment, event: str, seconds: float
 ) -> None:
-    """Make the workload's event happen half-way."""
+    """Inject the fault or change of an event half-way through a run."""
     await asyncio.sleep(seconds / 2)
     engines = list(deployment.engine_by_address.values())
     addresses = list(deployment.daemon_by_address)
@@ -149,20 +162,20 @@
         deployment.leaving.add("runner-0")
         deployment.publish()
     elif event == "daemon_lost":
-        await deployment.lose(addresses[-1])
+        await deployment.kill(addresses[-1])
     elif event == "daemon_stop":
         await deployment.stop(addresses[-1])
 
 
 async def _run(task: Task) -> dict[str, object]:
-    shape = task.shape
+    profile = task.profile
     settings = _virtual.DeploymentSettings(
-        shape.members,
-        shape.daemons,
-        shape.engines,
-        shape.adapters,
-        shape.load_s,
-        shape.engine,
+        profile.members,
+        profile.daemons,
+        profile.engines,
+        profile.adapters,
+        profile.load_s,
+        profile.engine,
         {
             "routing": task.policy.routing,
             "placement": {
@@ -172,42 +185,42 @@
         },
         task.seed,
     )
-    arrivals = _workloads.trace(shape, task.event, task.seconds, task.seed)
-    warm_until = task.seconds * WARM_PART
-    measured = Measured()
+    arrivals = _workloads.trace(profile, task.event, task.seconds, task.seed)
+    warmup_end = task.seconds * WARMUP_FRACTION
+    outcomes = Outcomes()
     async with _virtual.Deployment(settings) as deployment:
         loop = asyncio.get_running_loop()
         started = loop.time()
         event = asyncio.create_task(
-            _events(deployment, task.event, task.seconds)
+            _inject_event(deployment, task.event, task.seconds)
         )
-        asking = []
-        counted = None
+        request_tasks = []
+        initial_counts = None
         for arrival in arrivals:
             await asyncio.sleep(max(0.0, started + arrival.at - loop.time()))
-            if counted is None and arrival.at >= warm_until:
+            if initial_counts is None and arrival.at >= warmup_end:
                 deployment.reset_metrics()
-                counted = _engine_counts(deployment)
-            is_warm = arrival.at >= warm_until
-            asking.append(
+                initial_counts = _engine_counts(deployment)
+            is_counted = arrival.at >= warmup_end
+            request_tasks.append(
                 asyncio.create_task(
-                    _ask(
+                    _request_completion(
                         deployment,
                         arrival,
-                        shape.client_s,
-                        measured if is_warm else None,
+                        profile.client_s,
+                        outcomes if is_counted else None,
                     )
                 )
             )
-        await asyncio.gather(*asking)
+        await asyncio.gather(*request_tasks)
         await event
-        return _figures(task, arrivals, deployment, measured, counted)
+        return _summarize(task, arrivals, deployment, outcomes, initial_counts)
 
 
 def _engine_counts(
     deployment: _virtual.Deployment,
 ) -> tuple[int, int, int]:
-    """Return loads, steps and used slots over all engines."""
+    """Return the loads, steps and used batch slots of all engines."""
     reports = [e.report() for e in deployment.engine_by_address.values()]
     return (
         sum(e.loads for e in deployment.engine_by_address.values()),
@@ -216,65 +229,68 @@
     )
 
 
-def _figures(
+def _summarize(
     task: Task,
     arrivals: list[_workloads.Arrival],
     deployment: _virtual.Deployment,
-    measured: Measured,
-    counted: tuple[int, int, int],
+    outcomes: Outcomes,
+    initial_counts: tuple[int, int, int],
 ) -> dict[str, object]:
     snapshot = deployment.metrics()
     loads, steps, used = (
         now - before
-        for now, before in zip(_engine_counts(deployment), counted)
+        for now, before in zip(_engine_counts(deployment), initial_counts)
     )
-    shape = task.shape
-    slots = shape.engines * shape.engine.adapter_slots
-    warm_until = task.seconds * WARM_PART
-    bound = _workloads.fewest_loads(arrivals, slots, warm_until)
+    profile = task.profile
+    slots = profile.engines * profile.engine.adapter_slots
+    warmup_end = task.seconds * WARMUP_FRACTION
+    bound = _workloads.belady_loads(arrivals, slots, warmup_end)
     stalls = _load_stalls(snapshot)
-    firsts = [
-        value for values in measured.first_s.values() for value in values
+    first_token_s = [
+        value for values in outcomes.first_s.values() for value in values
     ]
-    per_mille = 1000 / max(1, measured.asked)
+    per_mille = 1000 / max(1, outcomes.requests)
     evictions = snapshot.counter_by_name.get("evictions", 0)
     return {
-        "requests": measured.asked,
-        "answered": measured.answered,
-        "refused": dict(measured.refused),
+        "requests": outcomes.requests,
+        "answered": outcomes.answered,
+        "refused": dict(outcomes.refused),
         "load_stall_ms": stalls,
         "first_token_ms": {
-            "p50": round(percentile(firsts, 0.5) * 1000, 1),
-            "p95": round(percentile(firsts, 0.95) * 1000, 1),
-            "p99": round(percentile(firsts, 0.99) * 1000, 1),
+            "p50": round(percentile(first_token_s, 0.5) * 1000, 1),
+            "p95": round(percentile(first_token_s, 0.95) * 1000, 1),
+            "p99": round(percentile(first_token_s, 0.99) * 1000, 1),
         },
         "first_token_p99_ms_by_member": {
             member: round(percentile(values, 0.99) * 1000, 1)
-            for member, values in measured.first_s.items()
+            for member, values in outcomes.first_s.items()
         },
         "batch_efficiency": round(
-            used / max(1, steps * shape.engine.batch_slots), 4
+            used / max(1, steps * profile.engine.batch_slots), 4
         ),
         "loads_per_1000": round(loads * per_mille, 1),
         "evictions_per_1000": round(evictions * per_mille, 1),
         "belady_loads_per_1000": round(bound * per_mille, 1),
         "loads_to_belady": round(loads / max(1, bound), 3),
-        "first_token_mean_ms_by_10_s": _by_ten_seconds(measured),
+        "first_token_mean_ms_by_10_s": _first_token_mean_ms_by_10_s(outcomes),
     }
 
 
-def _by_ten_seconds(measured: Measured) -> dict[str, float]:
-    tens: dict[int, list[float]] = collections.defaultdict(list)
-    for second, values in measured.by_second.items():
-        tens[second // 10 * 10] += values
+def _first_token_mean_ms_by_10_s(outcomes: Outcomes) -> dict[str, float]:
+    values_by_bucket: dict[int, list[float]] = collections.defaultdict(list)
+    for second, values in outcomes.by_second.items():
+        values_by_bucket[second // 10 * 10] += values
     return {
         str(start): round(1000 * sum(values) / len(values), 1)
-        for start, values in sorted(tens.items())
+        for start, values in sorted(values_by_bucket.items())
     }
 
 
 def _load_stalls(snapshot: observe.MetricsSnapshot) -> dict[str, float]:
-    """Return the load stalls over all members and classes."""
+    """Return load stall statistics over all members and entry classes.
+
+    Times are in milliseconds. Values of 1 us count as no stall.
+    """
     total = histogram.HdrHistogram(1, 3_600_000_000, 2)
     for name, encoded in snapshot.histogram_by_name.items():
         if name.startswith("load_stall"):
@@ -291,7 +307,7 @@
 
 
 def run_task(task: Task) -> dict[str, object]:
-    """Run one task on a virtual-time loop of its own."""
+    """Run one task on a new event loop with virtual time."""
     logging.set_verbosity(logging.FATAL)
     loop = looptime.new_event_loop()
     asyncio.set_event_loop(loop)
@@ -310,24 +326,27 @@
         events = ("steady",)
         seconds = min(seconds, 45.0)
     tasks = [
-        Task(shape, event, policy, seconds, _SEED.value, shape.stall_weight)
-        for shape in _workloads.SHAPES
+        Task(
+            profile, event, policy, seconds, _SEED.value, profile.stall_weight
+        )
+        for profile in _workloads.PROFILES
         for event in events
         for policy in POLICIES
     ]
-    for shape in _workloads.SHAPES if not _QUICK.value else ():
-        # The other member's weight on this member's steady workload.
-        other = 1.0 - shape.stall_weight
+    for profile in _workloads.PROFILES if not _QUICK.value else ():
+        # The steady workload with the complementary stall weight, which is
+        # the one of the other deployment.
+        other = 1.0 - profile.stall_weight
         ours = Policy("ours_other_weight", "residency", "value")
         if "steady" in events:
             tasks.append(
-                Task(shape, "steady", ours, seconds, _SEED.value, other)
+                Task(profile, "steady", ours, seconds, _SEED.value, other)
             )
     return tasks
 
 
-def _ratio(by_policy: dict[str, dict]) -> dict[str, float]:
-    """Return ours against the best baseline and the limit."""
+def _ratios_to_baseline(by_policy: dict[str, dict]) -> dict[str, float]:
+    """Return ratios of our policy to the best baseline and to Belady."""
     ours = by_policy["ours"]
     stalls = [by_policy[b]["load_stall_ms"]["p99"] for b in BASELINES]
     batches = [by_policy[b]["batch_efficiency"] for b in BASELINES]
@@ -343,7 +362,7 @@
 
 
 def _print_table(by_workload: dict[str, dict[str, dict]]) -> None:
-    head = (
+    header = (
         "workload",
         "policy",
         "stall p50",
@@ -357,7 +376,7 @@
         "loads/1000",
         "to Belady",
     )
-    print("  ".join(head))
+    print("  ".join(header))
     for workload, by_policy in by_workload.items():
         for policy, figures in by_policy.items():
             stall = figures["load_stall_ms"]
@@ -379,7 +398,7 @@
 
 
 def _plot(by_workload: dict[str, dict[str, dict]], path: str) -> None:
-    # Slow to import, and needed for the plot alone.
+    # Imported here because it loads slowly and only the plot needs it.
     import matplotlib
 
     matplotlib.use("svg")
@@ -413,11 +432,13 @@
             print(f"{len(results)} of {len(tasks)}", file=sys.stderr)
     by_workload: dict[str, dict[str, dict]] = collections.defaultdict(dict)
     for task, figures in zip(tasks, results):
-        workload = f"{task.shape.name}/{task.event}"
+        workload = f"{task.profile.name}/{task.event}"
         by_workload[workload][task.policy.name] = figures
     _print_table(by_workload)
     _plot(by_workload, _PLOT.value)
-    ratio = {name: _ratio(rows) for name, rows in by_workload.items()}
+    ratio = {
+        name: _ratios_to_baseline(rows) for name, rows in by_workload.items()
+    }
     summary = {"by_workload": by_workload, "ratio": ratio}
     summary["stated"] = "in memory, virtual time, real decision code"
     print(json.dumps(summary))
--- a/libs/standins/src/bergamotsail/standins/_http.py
+++ b/libs/standins/src/bergamotsail/standins/_http.py
@@ -1,4 +1,4 @@
-"""The stand-ins over HTTP, for separate processes."""
+"""HTTP handlers for the stand-ins, to run them as separate processes."""
 
 import contextlib
 import dataclasses
@@ -23,13 +23,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _OrderBody:
+class _AdapterBody:
     lora_name: str
     lora_path: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _RunBody:
+class _CompletionBody:
     model: str
     max_tokens: int = 16
     stream: bool = True
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineControl:
-    """Faults to set on an engine; what is None stays."""
+    """Faults to inject into an engine; a field that is None is unchanged."""
 
     leaving: bool | None = None
     restart: bool = False
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineRecords:
-    """What an engine counted."""
+    """Counters and records of an engine, for tests to assert on."""
 
     evicted_while_serving: list[str]
     runs_by_stream: dict[str, int]
@@ -64,16 +64,16 @@
         self.engine = engine
 
 
-class _Report(_EngineHandler):
+class _ReportHandler(_EngineHandler):
     def get(self) -> None:
         self.finish(wire.encode(self.engine.report()))
 
 
-class _Order(_EngineHandler):
-    async def post(self, what: str) -> None:
-        body = wire.decode(self.request.body, _OrderBody)
+class _AdapterHandler(_EngineHandler):
+    async def post(self, command: str) -> None:
+        body = wire.decode(self.request.body, _AdapterBody)
         try:
-            if what == "load_lora_adapter":
+            if command == "load_lora_adapter":
                 await self.engine.load(
                     self.epoch(), body.lora_name, body.lora_path
                 )
@@ -83,7 +83,7 @@
             self.send_error_body(error)
 
 
-class _Cancel(_EngineHandler):
+class _CancelHandler(_EngineHandler):
     async def post(self, stream_id: str) -> None:
         try:
             await self.engine.cancel(self.epoch(), stream_id)
@@ -91,14 +91,14 @@
             self.send_error_body(error)
 
 
-class _Run(_EngineHandler):
+class _CompletionHandler(_EngineHandler):
     _closed = False
 
     def on_connection_close(self) -> None:
         self._closed = True
 
     async def post(self) -> None:
-        body = wire.decode(self.request.body, _RunBody)
+        body = wire.decode(self.request.body, _CompletionBody)
         headers = self.request.headers
         resume = headers.get("X-Resume-After")
         run = targets.Run(
@@ -151,7 +151,7 @@
     return b"data: " + wire.encode(event) + b"\n\n"
 
 
-class _EngineControl(_EngineHandler):
+class _EngineControlHandler(_EngineHandler):
     def get(self) -> None:
         engine = self.engine
         self.finish(
@@ -174,27 +174,31 @@
         if control.load_hang_s is not None:
             self.engine.load_hang_s = control.load_hang_s
         if control.fail_loads is not None:
-            fault = wire.EngineError("Loads fail for now.")
+            fault = wire.EngineError("Loads fail by an injected fault.")
             self.engine.load_fault = fault if control.fail_loads else None
         if control.restart:
             self.engine.restart()
 
 
 def engine_application(engine: _engine.EngineStandIn) -> web.Application:
-    """Return the HTTP form of an engine."""
+    """Return the web application that serves an engine stand-in."""
     args = {"engine": engine}
     return web.Application(
         [
-            (r"/report", _Report, args),
-            (r"/v1/(load_lora_adapter|unload_lora_adapter)", _Order, args),
-            (r"/v1/(?:chat/)?completions", _Run, args),
-            (r"/v1/streams/([^/]+)/cancel", _Cancel, args),
-            (r"/standin", _EngineControl, args),
+            (r"/report", _ReportHandler, args),
+            (
+                r"/v1/(load_lora_adapter|unload_lora_adapter)",
+                _AdapterHandler,
+                args,
+            ),
+            (r"/v1/(?:chat/)?completions", _CompletionHandler, args),
+            (r"/v1/streams/([^/]+)/cancel", _CancelHandler, args),
+            (r"/standin", _EngineControlHandler, args),
         ]
     )
 
 
-class _Fetch(_Handler):
+class _FetchHandler(_Handler):
     def initialize(self, store: _others.WeightStoreStandIn) -> None:
         self.store = store
 
@@ -206,12 +210,12 @@
 
 
 def store_application(store: _others.WeightStoreStandIn) -> web.Application:
-    """Return the HTTP form of a weight store."""
-    return web.Application([(r"/fetch", _Fetch, {"store": store})])
+    """Return the web application that serves a weight store stand-in."""
+    return web.Application([(r"/fetch", _FetchHandler, {"store": store})])
 
 
 class HttpWeightStore(_engine.WeightSource):
-    """A weight store in another process."""
+    """Client of a weight store in another process."""
 
     def __init__(self, http: wire.HttpClient, address: str) -> None:
         self._http = http
@@ -223,10 +227,12 @@
         )
         reply = await self._http.fetch(request)
         if reply.status != 200:
-            raise wire.EngineError("The weight store failed the load.")
+            raise wire.EngineError(
+                f"The weight store failed the load: status {reply.status}."
+            )
 
 
-class _AnyCall(_Handler):
+class _ServiceHandler(_Handler):
     def initialize(self, service: _others.ServiceStandIn) -> None:
         self.service = service
 
@@ -247,11 +253,11 @@
 
 
 def service_application(service: _others.ServiceStandIn) -> web.Application:
-    """Return the HTTP form of a plain service."""
-    return web.Application([(r".*", _AnyCall, {"service": service})])
+    """Return the web application that serves a service stand-in."""
+    return web.Application([(r".*", _ServiceHandler, {"service": service})])
 
 
-class _List(_Handler):
+class _InstanceListHandler(_Handler):
     def initialize(self, instances: _others.InstanceListStandIn) -> None:
         self.instances = instances
 
@@ -269,5 +275,7 @@
 def list_application(
     instances: _others.InstanceListStandIn,
 ) -> web.Application:
-    """Return the HTTP form of an instance list."""
-    return web.Application([(r"/instances", _List, {"instances": instances})])
+    """Return the web application that serves an instance list stand-in."""
+    return web.Application(
+        [(r"/instances", _InstanceListHandler, {"instances": instances})]
+    )
--- a/libs/standins/src/bergamotsail/standins/_memory.py
+++ b/libs/standins/src/bergamotsail/standins/_memory.py
@@ -1,7 +1,7 @@
-"""The stand-ins at the product's interfaces, within one process.
+"""In-process implementations of the target interfaces.
 
-A *link* says whether and how a call gets through, so that a test can cut
-it, lose a reply or hold it back.
+Each wraps a stand-in behind a ``Link``, on which a test injects network
+faults: a cut link, lost replies, or a frozen sender.
 """
 
 import asyncio
@@ -16,14 +16,16 @@
 
 
 class Link:
-    """What happens to calls on their way to a target and back.
-
-    Args:
-        cut: nothing gets through.
-        lose_replies: calls arrive, but their replies are lost.
-        delay_s: time on the way, each way.
-        crossed: chunks come twice, and those of others are mixed in.
-        gappy: now and then a chunk is lost.
+    """Fault injection for the connection to a target.
+
+    Attributes:
+        cut: whether no call or reply gets through.
+        lose_replies: whether calls arrive but their replies are lost.
+        delay_s: one-way latency in seconds.
+        crossed: whether each chunk is duplicated and followed by a chunk
+            of another stream.
+        gappy: whether one chunk in seven is lost.
+        held: cleared while the sender is frozen.
     """
 
     def __init__(self) -> None:
@@ -35,35 +37,43 @@
         self.held = asyncio.Event()
         self.held.set()
 
-    async def hold(self) -> None:
-        """Wait while the sender is frozen."""
+    async def wait_unfrozen(self) -> None:
+        """Block while the sender is frozen."""
         await self.held.wait()
 
-    async def go(self) -> None:
-        """Take a call to the target."""
+    async def deliver_call(self) -> None:
+        """Simulate sending a call to the target.
+
+        Raises:
+            NotSentError: the link is cut.
+        """
         await asyncio.sleep(self.delay_s)
         if self.cut:
             raise wire.NotSentError("The link is cut.")
 
-    async def back(self) -> None:
-        """Take a reply to the caller."""
+    async def deliver_reply(self) -> None:
+        """Simulate returning a reply to the caller.
+
+        Raises:
+            PeerLostError: the reply was lost.
+        """
         await asyncio.sleep(self.delay_s)
-        await self.hold()
+        await self.wait_unfrozen()
         if self.cut or self.lose_replies:
             raise wire.PeerLostError("The reply was lost.")
 
 
 class MemoryEngine(targets.Engine):
-    """An engine stand-in behind a link."""
+    """Engine client that calls an engine stand-in over a link."""
 
     def __init__(self, engine: _engine.EngineStandIn, link: Link) -> None:
         self._engine = engine
         self._link = link
 
     async def report(self) -> targets.EngineReport:
-        await self._link.go()
+        await self._link.deliver_call()
         report = self._engine.report()
-        await self._link.back()
+        await self._link.deliver_reply()
         return report
 
     async def load(
@@ -71,17 +81,17 @@
     ) -> None:
         await self._send(order)
         await self._engine.load(order.epoch, adapter, weights)
-        await self._link.back()
+        await self._link.deliver_reply()
 
     async def unload(self, order: targets.Order, adapter: str) -> None:
         await self._send(order)
         await self._engine.unload(order.epoch, adapter)
-        await self._link.back()
+        await self._link.deliver_reply()
 
     async def cancel(self, order: targets.Order, stream_id: str) -> None:
         await self._send(order)
         await self._engine.cancel(order.epoch, stream_id)
-        await self._link.back()
+        await self._link.deliver_reply()
 
     async def run(
         self, order: targets.Order, run: targets.Run
@@ -90,14 +100,14 @@
         chunks = self._engine.run(order.epoch, run)
         async with contextlib.aclosing(chunks):
             async for chunk in chunks:
-                await self._link.back()
-                for arrived in self._arrivals(chunk):
-                    yield arrived
+                await self._link.deliver_reply()
+                for received in self._received_chunks(chunk):
+                    yield received
 
-    def _arrivals(
+    def _received_chunks(
         self, chunk: targets.Chunk
     ) -> collections.abc.Iterator[targets.Chunk]:
-        """Yield what arrives in the place of a chunk."""
+        """Yield the chunks that arrive for one that was sent."""
         if self._link.gappy and chunk.number % 7 == 3:
             return
         yield chunk
@@ -106,14 +116,16 @@
             yield dataclasses.replace(chunk, stream_id="other", text="? ")
 
     async def _send(self, order: targets.Order) -> None:
-        await self._link.hold()
+        await self._link.wait_unfrozen()
         if not order.gate():
-            raise wire.NotSentError("The lease ended before the order went.")
-        await self._link.go()
+            raise wire.NotSentError(
+                "The lease ended before the order was sent."
+            )
+        await self._link.deliver_call()
 
 
 class MemoryService(targets.Service):
-    """A service stand-in behind a link."""
+    """Service client that calls a service stand-in over a link."""
 
     def __init__(self, service: _others.ServiceStandIn, link: Link) -> None:
         self._service = service
@@ -122,10 +134,12 @@
     async def call(
         self, request: targets.ServiceRequest
     ) -> targets.ServiceReply:
-        await self._link.hold()
+        await self._link.wait_unfrozen()
         if not request.gate():
-            raise wire.NotSentError("The lease ended before the call went.")
-        await self._link.go()
+            raise wire.NotSentError(
+                "The lease ended before the call was sent."
+            )
+        await self._link.deliver_call()
         try:
             async with asyncio.timeout(request.timeout_s):
                 reply = await self._service.call(
@@ -138,12 +152,12 @@
             raise wire.PeerTimeoutError(
                 "The service did not answer."
             ) from None
-        await self._link.back()
+        await self._link.deliver_reply()
         return reply
 
 
 class MemoryInstanceList(targets.InstanceList):
-    """An instance list stand-in behind a link."""
+    """Instance list client that reads a stand-in over a link."""
 
     def __init__(
         self, instances: _others.InstanceListStandIn, link: Link
@@ -152,7 +166,7 @@
         self._link = link
 
     async def read(self) -> tuple[targets.Instance, ...]:
-        await self._link.go()
+        await self._link.deliver_call()
         listed = self._instances.read()
-        await self._link.back()
+        await self._link.deliver_reply()
         return listed
--- a/libs/standins/src/bergamotsail/standins/_network.py
+++ b/libs/standins/src/bergamotsail/standins/_network.py
@@ -1,4 +1,4 @@
-"""Daemons' calls within one process, with faults on the way."""
+"""In-process network between daemons, with fault injection."""
 
 import asyncio
 import collections
@@ -11,13 +11,19 @@
 from bergamotsail import wire
 
 DELAY_S = 0.0005
-# A slow link is shared by the replies on it in turns of so many bytes.
-TURN_BYTES = 8_192
+# Concurrent replies on a slow link take turns in units of this size.
+BURST_BYTES = 8_192
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Host:
-    """A daemon's place in the network."""
+    """A daemon process at an address of the network.
+
+    Attributes:
+        dead: whether the process was killed.
+        awake: cleared while the process is frozen.
+        tasks: handlers that run in the process.
+    """
 
     address: str
     server: wire.PeerServer
@@ -27,7 +33,16 @@
 
 
 class MemoryNetwork:
-    """Hosts by address, and which ways between them are cut."""
+    """A simulated network of hosts.
+
+    Attributes:
+        cuts: (source, destination) pairs between which messages are dropped.
+        duplicate: probability that a request is delivered twice.
+        slow: upper bound of the extra one-way latency, in seconds.
+        bytes_per_s: bandwidth limit for replies, by receiving address.
+        received: bytes received over a limited link, by address.
+        stalled: receiving addresses on whose limited link a transfer hangs.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self.host_by_address: dict[str, Host] = {}
@@ -35,72 +50,74 @@
         self.duplicate = 0.0
         self.slow = 0.0
         self.rng = rng
-        # Links that are slow, by the address of who receives.
         self.bytes_per_s: dict[str, float] = {}
         self.received: collections.Counter[str] = collections.Counter()
-        # What is carried to these hosts now never arrives.
         self.stalled: set[str] = set()
         self._link_by_address: dict[str, asyncio.Lock] = {}
 
-    async def carry(self, address: str, size: int) -> None:
-        """Take the time that a reply needs on the link to its receiver."""
+    async def transfer(self, address: str, size: int) -> None:
+        """Wait for the transfer time of a reply to its receiver.
+
+        A link without a bandwidth limit takes no time. On a limited link a
+        transfer to a stalled receiver never completes.
+        """
         rate = self.bytes_per_s.get(address)
         if rate is None:
             return
         link = self._link_by_address.setdefault(address, asyncio.Lock())
         while size > 0:
-            turn = min(size, TURN_BYTES)
-            size -= turn
+            burst = min(size, BURST_BYTES)
+            size -= burst
             async with link:
-                self.received[address] += turn
-                await asyncio.sleep(turn / rate)
+                self.received[address] += burst
+                await asyncio.sleep(burst / rate)
             if address in self.stalled:
                 await asyncio.Event().wait()
 
     def join(self, address: str, server: wire.PeerServer) -> Host:
-        """Put a new process at an address."""
+        """Register a new process at an address."""
         host = Host(address, server)
         host.awake.set()
         self.host_by_address[address] = host
         return host
 
     def kill(self, address: str) -> None:
-        """End the process there: nothing more goes out or comes in."""
+        """Kill the process at an address and cancel its handlers."""
         host = self.host_by_address[address]
         host.dead = True
         for task in list(host.tasks):
             task.cancel()
 
     def cut(self, one: str, other: str, both_ways: bool = True) -> None:
-        """Drop silently all that goes from one host to the other."""
+        """Drop messages from one host to the other, and back if both ways."""
         self.cuts.add((one, other))
         if both_ways:
             self.cuts.add((other, one))
 
     def isolate(self, address: str, both_ways: bool = True) -> None:
-        """Cut a host off from all others."""
+        """Drop messages from a host to all others, and back if both ways."""
         for other in self.host_by_address:
             if other != address:
                 self.cut(address, other, both_ways)
 
     def heal(self) -> None:
-        """Let everything through again."""
+        """Remove all partitions, duplication and extra latency."""
         self.cuts.clear()
         self.duplicate = 0.0
         self.slow = 0.0
 
     async def delay(self) -> None:
-        """Take the time of one way."""
+        """Wait for the latency of one message."""
         extra_s = self.rng.random() * self.slow
         await asyncio.sleep(DELAY_S * (1 + self.rng.random()) + extra_s)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether this way is cut."""
+        """Return whether messages from source to target are dropped."""
         return (source, target) in self.cuts
 
 
 class MemoryTransport(wire.PeerTransport):
-    """The transport of the process at one address."""
+    """Peer transport of the process at one address."""
 
     def __init__(self, network: MemoryNetwork, address: str) -> None:
         self._network = network
@@ -116,33 +133,35 @@
         message: typing.Any,
         timeout_s: float,
     ) -> typing.Any:
-        work: asyncio.Task | None = None
+        handler_task: asyncio.Task | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                target = await self._go(address)
+                target = await self._reach_host(address)
                 if self._network.rng.random() < self._network.duplicate:
                     self._deliver(target, call, message)
-                work = self._deliver(target, call, message)
-                reply = await asyncio.shield(work)
-                await self._back(address, target)
+                handler_task = self._deliver(target, call, message)
+                reply = await asyncio.shield(handler_task)
+                await self._return_reply(address, target)
                 data = wire.encode(reply)
-                await self._network.carry(self._address, len(data))
+                await self._network.transfer(self._address, len(data))
                 return wire.decode(data, call.reply)
         except TimeoutError:
-            raise _lost(address, work is not None) from None
+            raise _timeout_error(address, handler_task is not None) from None
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
                 raise
             raise wire.PeerLostError(f"{address} was lost.") from None
         finally:
-            if work is not None and not work.done():
-                _spawn(target, self._hang_up(address, work))
+            if handler_task is not None and not handler_task.done():
+                _spawn(target, self._cancel_handler(address, handler_task))
 
-    async def _hang_up(self, address: str, work: asyncio.Task) -> None:
-        """End a handler whose caller went away, as real servers do."""
+    async def _cancel_handler(
+        self, address: str, handler_task: asyncio.Task
+    ) -> None:
+        """Cancel a handler whose caller disconnected, as a server does."""
         await self._network.delay()
         if not self._network.is_cut(self._address, address):
-            work.cancel()
+            handler_task.cancel()
 
     async def stream(
         self,
@@ -153,26 +172,28 @@
     ) -> collections.abc.AsyncIterator[typing.Any]:
         try:
             async with asyncio.timeout(min(timeout_s, 1.0)):
-                target = await self._go(address)
+                target = await self._reach_host(address)
         except TimeoutError:
-            raise _lost(address, False) from None
+            raise _timeout_error(address, False) from None
         replies: asyncio.Queue = asyncio.Queue()
-        work = _spawn(target, self._feed(target, call, message, replies))
+        handler_task = _spawn(
+            target, self._run_stream_handler(target, call, message, replies)
+        )
         try:
             while True:
                 reply = await replies.get()
-                await self._back(address, target)
+                await self._return_reply(address, target)
                 if isinstance(reply, wire.ServingError):
                     raise wire.error_from_body(reply.body())
                 if reply is None:
                     return
                 data = wire.encode(reply)
-                await self._network.carry(self._address, len(data))
+                await self._network.transfer(self._address, len(data))
                 yield wire.decode(data, call.reply)
         finally:
-            work.cancel()
+            handler_task.cancel()
 
-    async def _feed(
+    async def _run_stream_handler(
         self,
         target: Host,
         call: wire.Call,
@@ -194,8 +215,14 @@
             replies.put_nowait(wire.PeerLostError("The peer was lost."))
             raise
 
-    async def _go(self, address: str) -> Host:
-        """Take a message to a live host, or hang while the way is cut."""
+    async def _reach_host(self, address: str) -> Host:
+        """Wait until a message reaches a host, and return the host.
+
+        Blocks while messages to it are dropped, or if the source is dead.
+
+        Raises:
+            NotSentError: no live process is at the address.
+        """
         source = self._host()
         await source.awake.wait()
         await self._network.delay()
@@ -208,7 +235,7 @@
             raise wire.NotSentError(f"Nothing listens at {address}.")
         return target
 
-    async def _back(self, address: str, target: Host) -> None:
+    async def _return_reply(self, address: str, target: Host) -> None:
         await self._network.delay()
         if target.dead:
             raise wire.PeerLostError(f"{address} was lost.")
@@ -230,15 +257,15 @@
         return _spawn(target, handle())
 
 
-def _spawn(host: Host, work: collections.abc.Coroutine) -> asyncio.Task:
-    task = asyncio.create_task(work)
+def _spawn(host: Host, coroutine: collections.abc.Coroutine) -> asyncio.Task:
+    task = asyncio.create_task(coroutine)
     host.tasks.add(task)
     task.add_done_callback(host.tasks.discard)
     task.add_done_callback(lambda done: done.cancelled() or done.exception())
     return task
 
 
-def _lost(address: str, sent: bool) -> wire.ServingError:
+def _timeout_error(address: str, sent: bool) -> wire.ServingError:
     if sent:
         return wire.PeerLostError(f"No reply from {address}.")
     return wire.NotSentError(f"{address} can't be reached.")
