--- a/features/heard.feature
+++ b/features/heard.feature
@@ -1,5 +1,6 @@
 Feature: What targets say of themselves in their answers
-  The list lags; a target's own word is in force at once.
+  The instance list lags, so what a response says of the target that sent it
+  applies at once.
 
   Scenario Outline: <scenario>: what a target says is kept to
     When targets speak of themselves in <scenario>
--- a/features/steps/heard.py
+++ b/features/steps/heard.py
@@ -1,4 +1,4 @@
-"""Steps of what targets say of themselves."""
+"""Steps for targets that report that they are leaving or paused."""
 
 import behave
 
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -1,9 +1,10 @@
-"""Targets that say in their answers that they leave, or want no work.
+"""Targets that report in response headers that they are leaving or paused.
 
-An engine was sent requests for seconds after its own answers had said that
-it was leaving, as the list that daemons read lagged and nobody read the
-answers; a full one was sent more, though it had named a time to come back.
-Replicas, sessions and forwarders are real, targets count what reached them.
+Guards against two failures. A leaving engine got requests for seconds after
+its own responses had announced it, because daemons used only the instance
+list, which lags. An engine at capacity got more requests during the pause
+that it had asked for. Replicas, sessions and forwarders are real; targets
+are fakes that record the requests that reach them.
 """
 
 import asyncio
@@ -26,7 +27,8 @@
 
 LEAVING = "leaving"
 PAUSE = "pause"
-# A pause is in force at once; what was on its way may still arrive.
+# Requests already in flight when a pause begins may still arrive for this
+# long.
 ON_ITS_WAY_S = 0.5
 MOST_IN_A_PAUSE = 2
 LIST_LAG_S = 3.0
@@ -34,7 +36,7 @@
 
 
 class Arrival(typing.NamedTuple):
-    """A request that reached a target, and what it was told there."""
+    """A request that reached a target, and the state the target reported."""
 
     at: float
     entry: int
@@ -44,7 +46,7 @@
 
 
 class Exchange(fatal_world.Exchange):
-    """A request to a target that may say something of itself."""
+    """A request to a target that may report that it is leaving or paused."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
 
 
 class Http(fatal_world.Http):
-    """Sends to targets that may say something of themselves."""
+    """A client for targets that may report that they are leaving or paused."""
 
     def exchange(
         self, target: fatal_world.Target, expected: str, body: bytes
@@ -88,7 +90,7 @@
 
 
 class Dialect(fatal_world.Dialect):
-    """Reads what targets say of themselves."""
+    """Reads the leaving and pause headers of responses."""
 
     def read(self, request, head) -> routing.Reading:
         absent = head.status == 421
@@ -103,7 +105,7 @@
 
 
 class LaggingList(targets.InstanceList):
-    """Shows targets as they were some seconds ago; who leaves is ready."""
+    """Lists targets as of LIST_LAG_S ago; leaving ones are listed as live."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
@@ -119,7 +121,7 @@
 
 
 class World(fatal_world.World):
-    """Entries before targets that say something of themselves."""
+    """Entries with targets that may report that they are leaving or paused."""
 
     def __init__(
         self, entries: int = 6, count: int = 3, seed: int = 1
@@ -137,7 +139,7 @@
     async def load(
         self, for_s: float, gap_s: float, at: int | None = None
     ) -> list[str]:
-        """Ask at even distances; return how each ended."""
+        """Send requests at a fixed interval; return the outcome of each."""
         asking = []
         loop = asyncio.get_running_loop()
         until = loop.time() + for_s
@@ -147,10 +149,11 @@
         return await asyncio.gather(*asking)
 
     def after_leaving(self, allowed_s: float = 0.0) -> list[str]:
-        """Say which entries sent to a target that had told them it leaves.
+        """List entries that sent to a target known to them to be leaving.
 
         Args:
-            allowed_s: others may send so long after the first was told.
+            allowed_s: how long after the first entry learned of it the
+                other entries may still send; 0 skips that check.
         """
         told: dict[tuple[int, str], float] = {}
         first: dict[str, float] = {}
@@ -161,15 +164,19 @@
             key = (arrival.entry, arrival.target)
             heard = told.setdefault(key, arrival.at)
             first_at = first.setdefault(arrival.target, arrival.at)
-            # What was on its way at that moment may arrive.
+            # Requests in flight at that moment may still arrive.
             if arrival.at > heard + fatal_world.RUN_S:
-                faults.add(f"entry {arrival.entry} went on sending")
+                faults.add(
+                    f"entry {arrival.entry} kept sending to a leaving target"
+                )
             if allowed_s and arrival.at > first_at + allowed_s:
-                faults.add(f"entry {arrival.entry} was not told")
+                faults.add(
+                    f"entry {arrival.entry} did not learn that it is leaving"
+                )
         return sorted(faults)
 
     def in_pauses(self) -> list[str]:
-        """Say which entries sent to a target that wanted none from them."""
+        """List entries that sent to a target during its pause for them."""
         by_pair: dict[tuple[int, str], list[Arrival]] = (
             collections.defaultdict(list)
         )
@@ -185,13 +192,14 @@
                 ]
                 if len(late) > MOST_IN_A_PAUSE:
                     faults.append(
-                        f"entry {entry} sent {len(late)} to {target}"
+                        f"entry {entry} sent {len(late)} requests to"
+                        f" paused target {target}"
                     )
         return faults[:3]
 
 
 async def leaving_ahead_of_the_list() -> list[str]:
-    """All stop soon after one was told, though the list shows it ready."""
+    """All entries stop sending once one learns of it, ahead of the list."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
         ended = await world.load(LIST_LAG_S + 2.0, 0.02)
@@ -200,7 +208,7 @@
 
 
 async def leaving_while_cut_off() -> list[str]:
-    """Who hears it keeps to it, though it reaches no leader."""
+    """An entry cut off from the leader still obeys what it was told."""
     async with World() as world:
         world.network.isolate(world.entries[0].session.daemon.address)
         await asyncio.sleep(3.0)
@@ -210,7 +218,7 @@
 
 
 async def leaving_over_a_leader() -> list[str]:
-    """The next leader is told again."""
+    """Entries report a leaving target again to a new leader."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
         await world.load(2.0, 0.05)
@@ -221,12 +229,16 @@
         ended = await world.load(6.0, 0.05)
         infos = world.entries[1].session.digest.target_by_id
         info = infos[world.targets[0].id]
-        faults = [] if info.leaving else ["the next leader does not know it"]
+        faults = (
+            []
+            if info.leaving
+            else ["the new leader does not know that the target is leaving"]
+        )
         return faults + world.after_leaving() + _unserved(ended, 0)
 
 
 async def next_start_takes_work() -> list[str]:
-    """What one start said counts for none that follows."""
+    """The leaving state of one incarnation does not apply to the next."""
     async with World(count=2) as world:
         target = world.targets[0]
         target.keeps_name = True
@@ -237,12 +249,12 @@
         await asyncio.sleep(LIST_LAG_S + 4.0)
         ended = await world.load(2.0, 0.05)
         again = [a for a in world.reached if a.target == target.id]
-        faults = [] if again else ["the next start got nothing"]
+        faults = [] if again else ["the next incarnation got no requests"]
         return faults + world.after_leaving() + _unserved(ended, 0)
 
 
 async def paused() -> list[str]:
-    """A target that wants no work for a while gets none, then some."""
+    """A paused target gets no requests until its pause ends, then some."""
     async with World(entries=2, count=2) as world:
         target = world.targets[0].id
         world.pause_by_target[target] = 8.0
@@ -256,12 +268,12 @@
             for a in world.reached
             if a.target == target and a.at > well_at + 8.1
         ]
-        faults = [] if back else ["it got nothing after its pause"]
+        faults = [] if back else ["the target got no requests after its pause"]
         return faults + world.in_pauses() + _unserved(ended, 0)
 
 
 async def paused_by_forty() -> list[str]:
-    """One target that pauses each of forty daemons gets little from each."""
+    """A target that pauses forty daemons gets few requests from each."""
     async with World(entries=40, count=4) as world:
         world.pause_by_target[world.targets[0].id] = 2.0
         ended = await world.load(5.0, 0.01)
@@ -269,7 +281,7 @@
 
 
 async def all_paused() -> list[str]:
-    """Who can wait for the end of a pause is served after it."""
+    """Requests whose deadline is after the end of the pause are served."""
     async with World() as world:
         for target in world.targets:
             world.pause_by_target[target.id] = 1.0
@@ -280,7 +292,10 @@
 
 
 async def all_paused_for_long() -> list[str]:
-    """Who surely can't be served is refused at once, with the time left."""
+    """A request whose deadline is within the pause is refused at once.
+
+    The error's retry_after_s is the time that is left of the pause.
+    """
     async with World(entries=1) as world:
         for target in world.targets:
             world.pause_by_target[target.id] = 60.0
@@ -306,15 +321,17 @@
             error = refused
         faults = []
         if loop.time() - started_at > 0.1:
-            faults.append("it waited for nothing")
+            faults.append(
+                "the request waited instead of being refused at once"
+            )
         left_s = error.retry_after_s if error is not None else None
         if left_s is None or not 50.0 < left_s <= 60.0:
-            faults.append(f"it was told to come back after {left_s}")
+            faults.append(f"retry_after_s is {left_s}")
         return faults + world.in_pauses()
 
 
 async def paused_in_an_election() -> list[str]:
-    """A pause needs no leader."""
+    """Pauses are obeyed while there is no leader."""
     async with World() as world:
         for address in world.addresses[:2]:
             await world.stop(address)
@@ -324,7 +341,7 @@
 
 
 class _Granting:
-    """Places at two engines; who grants them knows of no pause."""
+    """Grants places at engines in list order, unaware of pauses."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -343,7 +360,9 @@
             return placement.PlaceReply(
                 target.id, target.address, None, 0.0, "test"
             )
-        raise wire.OverloadError("There is no other.", retry_after_s=1.0)
+        raise wire.OverloadError(
+            "No other engine is available.", retry_after_s=1.0
+        )
 
     def give_back(
         self, request: str, target: str, outcome: placement.UseOutcome
@@ -358,7 +377,11 @@
     say: collections.abc.Callable[[control.Heard, str, float], None],
     wait_s: float = 0.0,
 ) -> tuple[list[str], _Granting, float]:
-    """Ask for an engine that says something while a place is waited for."""
+    """Send a request; call *say* while it waits for a place.
+
+    Returns:
+        The targets reached, the fake placer, and the time taken in seconds.
+    """
     async with World(entries=1) as world:
         entry, loop = world.entries[0], asyncio.get_running_loop()
         granting = _Granting(world)
@@ -391,43 +414,46 @@
 
 
 async def leaving_while_a_place_is_waited_for() -> list[str]:
-    """A place that was granted before is given back, and another used."""
+    """A place granted at a target that is leaving is released unused.
+
+    The request then runs at another target.
+    """
     reached, granting, _ = await _granted(
         lambda heard, target, now: heard.leaves(target), 0.4
     )
     faults = []
     if len(granting.given) != 2 or reached != [granting.given[1]]:
-        faults.append(f"given {granting.given}, used {reached}")
+        faults.append(f"granted {granting.given}, reached {reached}")
     if granting.back[0] is not placement.UseOutcome.LEFT:
-        faults.append(f"given back as {granting.back}")
+        faults.append(f"released with {granting.back}")
     return faults
 
 
 async def short_pause_is_waited_out() -> list[str]:
-    """For a short pause no adapter is loaded elsewhere."""
+    """A short pause is waited out rather than loading elsewhere."""
     reached, granting, took_s = await _granted(
         lambda heard, target, now: heard.pauses(target, 0.4, now), 0.1
     )
     faults = []
     if set(granting.given) != {granting.given[0]}:
-        faults.append(f"it went elsewhere: {granting.given}")
+        faults.append(f"other engines were granted: {granting.given}")
     if not 0.4 < took_s < 1.2 or len(reached) != 1:
-        faults.append(f"it took {took_s:.2f} s, {len(reached)} sends")
+        faults.append(f"took {took_s:.2f} s, {len(reached)} sends")
     return faults
 
 
 async def long_pause_is_avoided() -> list[str]:
-    """For a long pause another engine is asked for."""
+    """For a long pause a place at another engine is requested."""
     reached, granting, took_s = await _granted(
         lambda heard, target, now: heard.pauses(target, 5.0, now), 0.1
     )
     if reached != [granting.given[-1]] or took_s > 1.0:
-        return [f"given {granting.given}, used {reached}, {took_s:.2f} s"]
+        return [f"granted {granting.given}, reached {reached}, {took_s:.2f} s"]
     return []
 
 
 async def random_words(seed: int) -> list[str]:
-    """Targets say what they like, at any moment, to any daemon."""
+    """Targets leave, pause, resume and restart at random times."""
     rng = random.Random(seed)
     async with World(seed=seed) as world:
         asking = asyncio.create_task(world.load(12.0, 0.03))
@@ -449,7 +475,7 @@
 
 
 async def some_random_words() -> list[str]:
-    """Some of them."""
+    """Run random_words with six seeds."""
     faults: list[str] = []
     for seed in range(6):
         faults += [f"{seed}: {f}" for f in await random_words(seed)]
@@ -482,14 +508,15 @@
 
 
 def run_scenario(name: str) -> list[str]:
-    """Run a scenario; a crash counts as a finding."""
+    """Run a scenario; an exception counts as a fault."""
     try:
         return ledger.run(SCENARIOS[name]())
     except Exception as error:
         return [f"crash: {error!r}"]
 
 
-# Guards, each switched off where its scenario must notice.
+# Each mutant: name, the scenario that must fail, object, attribute and
+# replacement.
 
 Heard = control.Heard
 GUARDS: tuple[tuple[str, str, object, str, object], ...] = (
@@ -515,7 +542,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with one guard off."""
+    """Run a mutant's scenario with its guard disabled."""
     _, scenario, owner, name, off = GUARDS[number]
     with contextlib.ExitStack() as stack:
         stack.enter_context(unittest.mock.patch.object(owner, name, off))
