--- a/features/support/fatal.py
+++ b/features/support/fatal.py
@@ -1,8 +1,9 @@
-"""Requests that end targets, asked through the product's own interface.
+"""Requests that crash engines or services, sent through the daemon's API.
 
-The same cause as on routes: tries, resumes and a caller's own repeats met one
-target after the other, and nothing counted them together. The whole system
-runs in virtual time, with owners between entries and engines.
+Guards against the failure that quarantine.py tests on routes: retries,
+resumes and a caller's own repeats of a fatal request crashed one target after
+another, as nothing counted these crashes together. The whole system runs in
+virtual time, with owners between entries and engines.
 """
 
 import asyncio
@@ -18,7 +19,8 @@
 
 FATAL = "ends engines"
 CRASH_S = 0.05
-# Requests at the engines when the third one ended are counted as well.
+# Three crashes cause the quarantine; a request that already runs at another
+# engine at that moment may cause a fourth.
 MOST_ENDED = 4
 REPEATS = 8
 
@@ -30,7 +32,7 @@
 
 
 async def _ask(world: World, number: int, prompt: str) -> str:
-    """Ask a model once, at some entry; return how that ended."""
+    """Send one completion; return its error code, or "served"."""
     at = world.place(number % 5)
     request = routing.Completion(
         f"fatal-{number}", "adapter-0", targets.Prompt(prompt, 4), 10.0
@@ -49,7 +51,11 @@
 def _crashing(
     ended: list[str],
 ) -> collections.abc.Callable[..., object]:
-    """Return the engines' start of a run, which ends on the fatal prompt."""
+    """Return a replacement for _find_or_start that crashes on FATAL.
+
+    Args:
+        ended: gets the stream id of each fatal run.
+    """
     start = standins.EngineStandIn._find_or_start
 
     def start_or_crash(engine: standins.EngineStandIn, run: targets.Run):
@@ -63,7 +69,7 @@
 
 
 async def fatal_prompt(seed: int = 1) -> list[str]:
-    """A prompt that ends each engine that runs it is sent there no more."""
+    """A prompt that crashes each engine that runs it is quarantined."""
     ended: list[str] = []
     crashing = unittest.mock.patch.object(
         standins.EngineStandIn, "_find_or_start", _crashing(ended)
@@ -77,18 +83,18 @@
             other = await _ask(world, REPEATS, "another prompt")
     faults = []
     if len(ended) > MOST_ENDED:
-        faults.append(f"{len(ended)} engines ended, it got {got}")
+        faults.append(f"{len(ended)} engines crashed, outcomes {got}")
     if got[-1] != "quarantined":
-        faults.append(f"it got {got}")
+        faults.append(f"not quarantined at the end: {got}")
     if other != "served":
         faults.append(f"another prompt got {other}")
     return faults
 
 
 async def fatal_call(seed: int = 1) -> list[str]:
-    """The same for a call that may not be repeated, under new keys.
+    """A fatal non-idempotent call under new keys is quarantined, too.
 
-    The answer recorded for an earlier key still comes.
+    Another call still gets the response recorded under its key.
     """
     ended: list[str] = []
     do_call = standins.ServiceStandIn.call
@@ -115,7 +121,7 @@
             ]
     faults = []
     if len(ended) > MOST_ENDED or got[-1] != "quarantined":
-        faults.append(f"{len(ended)} calls ran, they got {got}")
+        faults.append(f"{len(ended)} fatal calls ran, outcomes {got}")
     if others != ["served", "replayed"]:
         faults.append(f"another call got {others}")
     return faults
@@ -144,7 +150,7 @@
     return "replayed" if result.replayed else "served"
 
 
-# What a mutant switches off: nothing stands in the log for any daemon.
+# A mutant's patch: no daemon sees a quarantined request in the catalogue.
 NOTHING_HELD = (
     catalogue.View,
     "quarantine_by_id",
--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -1,7 +1,7 @@
-"""Entries before targets that end on some requests, in virtual time.
+"""Entries with targets that crash on some requests, in virtual time.
 
-Replicas, sessions and forwarders are real; targets are small oracles that
-count what reached them.
+Replicas, sessions and forwarders are real; targets are fakes that record the
+requests that reach them.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 RUN_S = 0.2
 CRASH_S = 0.1
 DOWN_S = 1.0
-# The bound of the users: so long after its third end a request may reach
-# targets three times more.
+# Users' bound: from this long after the third crash that a request caused,
+# it may reach targets three times more.
 CONTACT_S = 3.0
 MOST_AFTER = 3
 MOST_ENDS = 3
@@ -44,7 +44,7 @@
 
 
 class Target:
-    """A target that ends on fatal bodies, and comes back as another start."""
+    """A target that crashes on fatal bodies; each start has another id."""
 
     def __init__(self, number: int, world: "World") -> None:
         self.number = number
@@ -58,17 +58,17 @@
 
     @property
     def id(self) -> str:
-        """Its name with its start."""
+        """The name with the incarnation."""
         if self.keeps_name:
             return f"t{self.number}#{self.start}"
         return f"t{self.number}-{self.start}"
 
     def listed(self) -> targets.Instance:
-        """Return its entry of the list."""
+        """Return the entry of the target in the instance list."""
         return targets.Instance(self.id, POOL, self.address, self.datacentre)
 
     def end(self) -> None:
-        """End with all that runs here; a new start follows."""
+        """Crash, failing all running requests; restart after DOWN_S."""
         if not self.up:
             return
         self.up = False
@@ -76,7 +76,7 @@
         asyncio.get_running_loop().call_later(DOWN_S, self._back)
 
     def cut(self) -> None:
-        """Lose the connections, though nothing ended."""
+        """Drop all connections without a crash."""
         self._ended.set()
         self._ended = asyncio.Event()
 
@@ -86,7 +86,7 @@
         self._ended = asyncio.Event()
 
     async def run(self, body: bytes) -> bool:
-        """Run a request; False when the connection ends before."""
+        """Run a request; return whether it ended before its connection did."""
         loop = asyncio.get_running_loop()
         ended, start = self._ended, self.start
         self._world.arrivals.append(Arrival(loop.time(), body, self.id))
@@ -102,7 +102,7 @@
 
 
 class Exchange:
-    """A request to a target, as the client of HTTP gives it."""
+    """A fake of the HTTP client's exchange with a target."""
 
     def __init__(self, target: Target, expected: str, body: bytes) -> None:
         self._target = target
@@ -118,12 +118,14 @@
 
     async def head(self) -> wire.ReplyHead:
         if not self._target.up:
-            raise wire.NotSentError("Nobody listens.")
+            raise wire.NotSentError("The target is down.")
         self.sent = True
         if self._target.id != self._expected:
             return wire.ReplyHead(421, ())
         if not await self._target.run(self._body):
-            raise wire.PeerLostError("Empty reply.")
+            raise wire.PeerLostError(
+                "The target closed the connection without a reply."
+            )
         return wire.ReplyHead(200, ())
 
     async def pieces(self) -> collections.abc.AsyncIterator[bytes]:
@@ -131,7 +133,7 @@
 
 
 class Http:
-    """Sends to the targets of a world, for one entry."""
+    """A fake HTTP client of one entry."""
 
     def __init__(self, world: "World", entry: int) -> None:
         self._world = world
@@ -145,12 +147,12 @@
         return self.exchange(found, dict(headers)["expect"], request.body)
 
     def exchange(self, target: Target, expected: str, body: bytes) -> Exchange:
-        """Return the exchange with a target."""
+        """Return an exchange with a target."""
         return Exchange(target, expected, body)
 
 
 class Dialect(routing.Dialect):
-    """Says which start is expected, and reads nothing but the status."""
+    """Sends the expected incarnation, and reads only the status."""
 
     def outgoing(self, request, destination) -> routing.Headers:
         return (("expect", destination.target),)
@@ -164,7 +166,7 @@
 
 
 class _Answer(routing.CallerAnswer):
-    """Takes an answer."""
+    """Accepts a response and discards its body."""
 
     def __init__(self) -> None:
         self._started = False
@@ -188,7 +190,7 @@
 
 
 class _Entry(control.Bystander):
-    """One entry: its session and its forwarder."""
+    """An entry with a session and a forwarder."""
 
     def __init__(self, world: "World", number: int, start: int = 1) -> None:
         self.number = number
@@ -224,7 +226,7 @@
 
 
 class _List(targets.InstanceList):
-    """The list, which never lags."""
+    """An instance list that never lags."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
@@ -278,7 +280,7 @@
         return self
 
     def make_http(self, entry: int) -> Http:
-        """Return the client of an entry."""
+        """Return the HTTP client of an entry."""
         return Http(self, entry)
 
     async def _enter(self, entry: _Entry) -> None:
@@ -290,13 +292,13 @@
         await self.stop_all()
 
     async def restart_entry(self, entry: _Entry) -> None:
-        """Kill an entry's process and start it again."""
+        """Stop an entry and start it again as a new incarnation."""
         self.entries.remove(entry)
         await entry.__aexit__(None, None, None)
         await self._enter(_Entry(self, entry.number, entry.start + 1))
 
     async def restart_all(self) -> None:
-        """Let all lose power, and come back with their disks."""
+        """Stop all replicas and entries; restart them with their disks."""
         for address in list(self.node_by_address):
             await self.stop(address)
         for entry in list(self.entries):
@@ -307,7 +309,7 @@
     async def ask(
         self, body: bytes, at: int | None = None, caller: str = "m1"
     ) -> str:
-        """Send a request of a caller; return how it ended."""
+        """Send a request; return its error code, or "served"."""
         entry = self.rng.choice(self.entries)
         if at is not None:
             entry = self.entries[at % len(self.entries)]
@@ -333,7 +335,7 @@
     async def ask_again(
         self, body: bytes, times: int, gap_s: float = 1.0, caller: str = "m1"
     ) -> list[str]:
-        """Let a caller come again and again; return how each ended."""
+        """Send a request repeatedly; return the outcome of each."""
         found = []
         for _ in range(times):
             found.append(await self.ask(body, caller=caller))
@@ -341,22 +343,29 @@
         return found
 
     def held(self) -> set[str]:
-        """Return the requests that are held back, as the log has it."""
+        """Return the ids of quarantined requests, as applied from the log."""
         machine = next(iter(self.machine_by_address.values()))
         entries = machine.view.quarantine_by_id.values()
         return {entry.id for entry in entries if entry.value.held}
 
     def faults(self, body: bytes, most: int = MOST_AFTER) -> list[str]:
-        """Say whether a request reached targets too often."""
+        """Check how often a request reached targets after its third crash.
+
+        Args:
+            most: arrivals allowed later than CONTACT_S after that crash.
+        """
         ends = [end.at for end in self.ended if end.body == body]
         third = sorted(ends)[MOST_ENDS - 1] if len(ends) >= MOST_ENDS else None
         if third is None:
-            return [f"only {len(ends)} targets ended under it"]
+            return [f"the request crashed only {len(ends)} targets"]
         late = [
             arrival
             for arrival in self.arrivals
             if arrival.body == body and arrival.at > third + CONTACT_S
         ]
         if len(late) > most:
-            return [f"{len(late)} more reached targets, {len(ends)} ended"]
+            return [
+                f"{len(late)} requests reached targets too late,"
+                f" {len(ends)} crashes"
+            ]
         return []
