--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,5 +1,5 @@
-Feature: Requests that end the targets that run them
-  Replicas, sessions and forwarders as they are, in virtual time.
+Feature: Requests that crash the targets that run them
+  Real replicas, sessions and forwarders run in virtual time.
 
   Scenario Outline: <scenario>: such a request stops, others go on
     When requests end targets in <scenario>
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -1,4 +1,4 @@
-"""Steps of requests that end targets."""
+"""Steps for requests that crash targets."""
 
 import multiprocessing
 
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -1,9 +1,10 @@
-"""Requests that end the targets that run them, in virtual time.
+"""Requests that crash the targets that run them, in virtual time.
 
-Users saw a pool of six lose nine engines to one request: its caller came
-again after each end, at any entry, under a new attempt id, and nothing knew
-it again. Replicas, sessions and forwarders are real here; targets are small
-oracles that count what reached them, and end on some bodies.
+Guards against a failure that users saw: one request crashed nine engines in a
+pool of six. Its caller repeated it after each crash, at any entry and under a
+new attempt id, and nothing recognised it as the same request. Replicas,
+sessions and forwarders are real; targets are fakes that record the requests
+that reach them and crash on some bodies.
 """
 
 import asyncio
@@ -34,7 +35,7 @@
 World = fatal_world.World
 
 
-# What is counted.
+# Counting of crashes.
 
 
 def _observed(
@@ -61,7 +62,7 @@
 
 
 async def any_order() -> list[str]:
-    """Words that come in any order and twice count the same."""
+    """The count does not depend on order or duplicates of observations."""
 
     @hypothesis.settings(
         max_examples=300, deadline=None, derandomize=True, database=None
@@ -82,10 +83,10 @@
 
 
 async def one_event_counts_once() -> list[str]:
-    """A rack that goes is one event; ends one after the other are several.
+    """Crashes at the same moment count as one, separate ones as several.
 
-    Three copies run as three targets go at one moment: that says nothing of
-    them. The same three targets one after the other do.
+    Copies that run at three targets of a rack that fails did not cause the
+    failure. Crashes of the same three targets one after another count.
     """
     rack = [_observed(f"t{n}", 3.0 - n / 100) for n in range(3)]
     turns = [_observed(f"t{n}", 8.0 - 2 * n) for n in range(3)]
@@ -96,16 +97,17 @@
 
 
 async def strange_words() -> list[str]:
-    """Ages that are huge, negative or no numbers hold nothing back alone."""
+    """Crashes of one target with huge, negative or NaN ages count once."""
     ages = [-1e9, -1.0, 0.0, 1e12, math.inf, -math.inf, math.nan]
     counts = [_count([_observed("t1", age) for _ in range(5)]) for age in ages]
     return [f"counted {counts}"] if max(counts) > 1 else []
 
 
 async def members_apart() -> list[str]:
-    """No member's thousands push another's requests out.
+    """One member's thousands of requests evict no other member's suspects.
 
-    Nor do its own push out one that was lost twice.
+    Nor do a member's single losses evict its own request that was lost twice.
+    The number of suspects that are kept is bounded.
     """
     counter = quarantine.EndCounter()
     first = quarantine.Observation("own", "m1", POOL, "t1", 1.0)
@@ -118,42 +120,44 @@
     second = quarantine.Observation("own", "m1", POOL, "t2", 0.0)
     faults = []
     if (ends := counter.take(second, 100.0).ends) != 2:
-        faults.append(f"{ends} of 2 ends are remembered")
+        faults.append(f"{ends} of 2 crashes are remembered")
     for number in range(5_000):
         beside = quarantine.Observation(f"b{number}", "m1", POOL, "t3", 1.0)
         counter.take(beside, 101.0)
     if (ends := counter.ends("own")) != 2:
-        faults.append(f"{ends} of 2 ends are remembered among its own")
+        faults.append(
+            f"{ends} of 2 crashes are remembered among its own requests"
+        )
     for number in range(5_000):
         many = quarantine.Observation("x", f"m{number}", POOL, "t1", 1.0)
         counter.take(many, 102.0)
     most = _ends.MOST_BY_MEMBER * _ends.MOST_MEMBERS
     return faults + (
-        [f"{len(counter)} are kept"] if len(counter) > most else []
+        [f"{len(counter)} suspects are kept"] if len(counter) > most else []
     )
 
 
-# What callers get.
+# Outcomes for callers.
 
 
 async def comes_again() -> list[str]:
-    """One request at any entry: three targets end, the rest is refused."""
+    """A fatal request is refused at every entry after three crashes."""
     async with World() as world:
         world.fatal = {b"bad"}
         got = await world.ask_again(b"bad", 12)
         faults = world.faults(b"bad", 0)
         if got[4:] != ["quarantined"] * 8:
-            faults.append(f"it got {got}")
+            faults.append(f"outcomes {got}")
         others = [await world.ask(f"q{n}".encode()) for n in range(20)]
         if set(others) != {"served"}:
-            faults.append(f"others got {others}")
+            faults.append(f"outcomes of others: {others}")
         if await world.ask(b"bad", caller="m2") == "quarantined":
-            faults.append("another member's request was held back")
+            faults.append("another member's request was quarantined")
         return faults
 
 
 async def at_all_at_once() -> list[str]:
-    """Copies at all entries in one moment, again and again."""
+    """Copies are sent to all entries at once, five times."""
     async with World() as world:
         world.fatal = {b"bad"}
         for _ in range(5):
@@ -163,7 +167,7 @@
 
 
 async def leader_lost_before_third() -> list[str]:
-    """The leader is lost after two ends; the next one is told of them."""
+    """A new leader learns of two crashes seen before the leader was lost."""
     async with World() as world:
         world.fatal = {b"bad"}
         await world.ask_again(b"bad", 2)
@@ -172,11 +176,11 @@
         await world.ask_again(b"bad", 10)
         ends = len(world.ended)
         faults = world.faults(b"bad", 0)
-        return faults + ([f"{ends} ended"] if ends > 4 else [])
+        return faults + ([f"{ends} crashes"] if ends > 4 else [])
 
 
 async def leader_lost_after_third() -> list[str]:
-    """The leader is lost at the third end."""
+    """The leader is lost at the third crash."""
     async with World() as world:
         world.fatal = {b"bad"}
         await world.ask_again(b"bad", 2)
@@ -191,21 +195,21 @@
 
 
 async def all_without_power() -> list[str]:
-    """All lose power; what was held back still is."""
+    """A quarantine survives a restart of all replicas and entries."""
     async with World() as world:
         world.fatal = {b"bad"}
         await world.ask_again(b"bad", 5)
         before = len(world.ended)
         await world.restart_all()
         got = await world.ask_again(b"bad", 6)
-        faults = [] if len(world.ended) == before else ["more targets ended"]
+        faults = [] if len(world.ended) == before else ["more targets crashed"]
         if set(got) != {"quarantined"}:
-            faults.append(f"it got {got}")
+            faults.append(f"outcomes {got}")
         return faults
 
 
 async def under_its_name() -> list[str]:
-    """Targets come back under their names: other starts are others."""
+    """Incarnations that keep the target's name count as other targets."""
     async with World(count=2) as world:
         for target in world.targets:
             target.keeps_name = True
@@ -216,7 +220,7 @@
 
 
 async def two_members() -> list[str]:
-    """Two of two members at once: each is held back for itself."""
+    """Fatal requests of two members at once are quarantined separately."""
     async with World() as world:
         world.fatal = {b"bad", b"worse"}
         await asyncio.gather(
@@ -227,19 +231,19 @@
 
 
 async def within_one_attempt() -> list[str]:
-    """One attempt that may run at many targets ends three at most."""
+    """One request with many attempts crashes three targets at most."""
     async with World(attempts=20) as world:
         world.fatal = {b"bad"}
         await world.ask(b"bad")
         ended = len(world.ended)
-        return [f"{ended} ended"] if ended > MOST_ENDS else []
+        return [f"{ended} crashes"] if ended > MOST_ENDS else []
 
 
 async def beside_it() -> list[str]:
-    """Requests beside the one that ends targets are served in the end.
+    """Requests that run beside a fatal one are served after retries.
 
-    Each caller comes again up to four times. Those that ran beside it end
-    with the same targets, and must not be taken for it.
+    Each caller sends up to four times. Requests that run on a target when the
+    fatal one crashes it are lost as well, and must not be quarantined.
     """
     async with World(entries=6, count=6) as world:
         world.fatal = {b"bad"}
@@ -258,15 +262,15 @@
         got = collections.Counter(await asyncio.gather(*asking))
         faults = world.faults(b"bad")
         if got["quarantined"] or got["served"] < 590:
-            faults.append(f"others got {dict(got)}")
+            faults.append(f"outcomes of others: {dict(got)}")
         return faults
 
 
 async def popular_in_a_rack() -> list[str]:
-    """A request that all send is not held back as racks and links go.
+    """A request sent by many is not quarantined as racks and links fail.
 
-    Targets go three at a time, and connections are cut, while the same read
-    runs at all of them.
+    Three targets at a time crash or lose their connections, while the same
+    request runs at all of them.
     """
     async with World(entries=6, count=6) as world:
         got: collections.Counter[str] = collections.Counter()
@@ -288,9 +292,9 @@
 
 
 async def runs_again_later() -> list[str]:
-    """It may run again later: one more end holds it longer, a good one frees.
+    """A quarantined request may run again after a hold time.
 
-    An operator releases it at once.
+    One more crash doubles the hold time; a success ends the quarantine.
     """
     hold = unittest.mock.patch.object(_quarantine, "HOLD_S", 6.0)
     with hold:
@@ -306,20 +310,22 @@
         await world.ask_again(b"bad", 4)
         faults = []
         if len(world.ended) != ended + 1:
-            faults.append(f"{len(world.ended) - ended} ended, not 1, later")
+            faults.append(
+                f"{len(world.ended) - ended} crashes after the hold, not 1"
+            )
         await asyncio.sleep(_quarantine.hold_s(MOST_ENDS) + 1.0)
         if await world.ask(b"bad") != "quarantined":
-            faults.append("it was not held for longer")
+            faults.append("the second hold was not longer")
         world.fatal = set()
         await asyncio.sleep(_quarantine.hold_s(MOST_ENDS) + 1.0)
         got = await world.ask_again(b"bad", 3)
         if got != ["served"] * 3 or world.held():
-            faults.append(f"mended, it got {got}")
+            faults.append(f"outcomes when no longer fatal: {got}")
         return faults
 
 
 async def operator_releases() -> list[str]:
-    """An operator deletes the entry, and the request runs again."""
+    """A request runs again once an operator deletes its entry."""
     async with World() as world:
         world.fatal = {b"bad"}
         await world.ask_again(b"bad", 5)
@@ -332,13 +338,13 @@
         await leader.propose(wire.encode(catalogue.Command(put=put)))
         await asyncio.sleep(1.0)
         got = await world.ask(b"bad")
-        return [] if got == "served" else [f"it got {got}"]
+        return [] if got == "served" else [f"outcome {got}"]
 
 
 async def released_for_good() -> list[str]:
-    """What an operator let run is not held for what was seen before.
+    """Earlier crashes do not quarantine again what an operator released.
 
-    A new leader is told again of what daemons saw in the last minutes.
+    Daemons report the crashes of the last minutes again to a new leader.
     """
     async with World() as world:
         world.fatal = {b"bad"}
@@ -354,13 +360,14 @@
         await asyncio.sleep(3.0)
         world.fatal = set()
         got = await world.ask_again(b"bad", 2)
-        return [] if got == ["served"] * 2 else [f"it got {got}"]
+        return [] if got == ["served"] * 2 else [f"outcomes {got}"]
 
 
 async def served_before() -> list[str]:
-    """A whole answer of before does not free what ended targets since.
+    """A success from before the quarantine does not end it.
 
-    A daemon tells a later leader of it before it has heard of the verdict.
+    A daemon that does not know of the quarantine yet reports the earlier
+    success to a new leader.
     """
     value = wire.encode(catalogue.Quarantine("m1", POOL, MOST_ENDS)).decode()
     view = catalogue.View()
@@ -374,16 +381,16 @@
     loop = asyncio.get_running_loop()
     await leader.tend()
     await leader.take("b1", [_observed("t1", 30.0, True)], loop.time())
-    faults = ["what was served before freed it"] if commands else []
+    faults = ["an earlier success released it"] if commands else []
     await asyncio.sleep(2.0)
     await leader.take("b1", [_observed("t2", 1.0, True)], loop.time())
     if [command.put.value for command in commands] != [None]:
-        faults.append(f"what was served since did: {commands}")
+        faults.append(f"a later success gave commands {commands}")
     return faults
 
 
 async def random_loads() -> list[str]:
-    """Random ends, cuts, kills and copies; the targets count."""
+    """Random crashes, cuts, restarts and copies with two seeds."""
     return [fault for seed in range(2) for fault in await _random(seed)]
 
 
@@ -469,7 +476,7 @@
 
 
 def _told_once(seen: quarantine.Observations, term: int) -> tuple:
-    """Tell a new leader nothing that another was told."""
+    """Report to a new leader only what no other leader was told."""
     seen._told_term = term
     return _pending(seen, term)
 
@@ -477,7 +484,7 @@
 def _put_in_order(
     own: _ends._MemberSuspects, identity: str, suspect: quarantine.Suspect
 ) -> str | None:
-    """Put a suspect last; the oldest makes room."""
+    """Append a suspect, and evict the oldest one if there are too many."""
     own.drop(identity)
     own.once[identity] = suspect
     if len(own) <= _ends.MOST_BY_MEMBER:
@@ -490,11 +497,12 @@
 
 
 async def _always(*_: object) -> bool:
-    """Grant all."""
+    """Allow every run."""
     return True
 
 
-# Each switches a guard off: its name, its scenario, what it patches.
+# Each mutant: name, the scenario that must fail, and the patch (object,
+# attribute, replacement) that disables a guard.
 MUTANTS = (
     (
         "never refuse",
@@ -566,7 +574,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with its guard switched off."""
+    """Run a mutant's scenario with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
     with ledger.switched_off(guard):
         return run_scenario(scenario)
