--- a/features/cli.feature
+++ b/features/cli.feature
@@ -1,5 +1,6 @@
 Feature: The command line
-  Operators use it; its exit codes say how it went.
+  Exit codes tell success, a failed request, invalid usage or input, an
+  unreachable daemon and a conflict apart.
 
   Scenario: An operator works with the catalogue
     Given a system of processes
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,5 +1,5 @@
 Feature: Checked settings
-  Every fault is reported at once, with the path of the setting.
+  All faults are reported together, each with the path of its setting.
 
   Scenario: Good settings pass and defaults are filled in
     Given good settings
--- a/features/sight.feature
+++ b/features/sight.feature
@@ -1,8 +1,8 @@
-Feature: Why a lead was lost can be read afterwards
+Feature: Logs and metrics of elections, event loop lag, shed calls and work
 
-  Scenario Outline: <scenario> is told
-    When the sight scenario <scenario> runs
-    Then its lines tell all
+  Scenario Outline: <scenario> is logged or counted
+    When the logging scenario <scenario> runs
+    Then its events and metrics are complete
 
     Examples:
       | scenario      |
--- a/features/steps/cli.py
+++ b/features/steps/cli.py
@@ -1,4 +1,4 @@
-"""Steps of the command line."""
+"""Steps for the command line."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 
 def _files(context) -> dict[str, str]:
-    """Write the files that commands name, and return their paths."""
+    """Write the files that commands refer to; return their paths by name."""
     folder = context.run.system.folder
     good = {
         "owner": "tahi",
--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -1,4 +1,4 @@
-"""Steps about logs that are explained."""
+"""Steps for the analysis of logs by bergamotsail.explain."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 
 def _entry_lines() -> list[str]:
-    """Return an entry's lines of two requests, one refused."""
+    """Return log lines of an entry for two requests, one of them refused."""
     request = {"request": "r1"}
     return [
         _line("entry", 10.3, "route", "send", target="e1", **request),
@@ -61,7 +61,7 @@
 
 
 def _holder_lines() -> list[str]:
-    """Return what the holder of orders, on another clock, says of them."""
+    """Return log lines of the holder of orders, whose clock differs."""
     order = {"target": "e1", "adapter": "base/a1"}
     return [
         _line("holder", 900.0, "place", "wait", request="r1.0"),
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -1,4 +1,4 @@
-"""Steps of settings."""
+"""Steps for the validation of settings."""
 
 import json
 
--- a/features/steps/sight.py
+++ b/features/steps/sight.py
@@ -1,15 +1,15 @@
-"""Steps of what is written about elections and late loops."""
+"""Steps for log events and metrics of elections, lag, shed calls and work."""
 
 import behave
 
 from features.support import sight
 
 
-@behave.when("the sight scenario {name} runs")
+@behave.when("the logging scenario {name} runs")
 def run(context, name: str) -> None:
     context.faults = sight.SCENARIOS[name]()
 
 
-@behave.then("its lines tell all")
+@behave.then("its events and metrics are complete")
 def told(context) -> None:
     assert not context.faults, context.faults
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -1,4 +1,4 @@
-"""What is written about elections, late loops and refused calls."""
+"""Log events and metrics of elections, event loop lag, shed calls and work."""
 
 import asyncio
 import gc
@@ -24,7 +24,7 @@
 
 
 class _Told(quorum.Witness):
-    """Keeps what one replica tells."""
+    """Records the events that one replica reports."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
@@ -33,7 +33,7 @@
         self.lines.append((what, fields))
 
     def of(self, kind: str, **wanted: object) -> list[dict]:
-        """Return the lines of a kind that have these fields."""
+        """Return the fields of all events of a kind that have these values."""
         return [
             fields
             for what, fields in self.lines
@@ -61,21 +61,21 @@
     faults = []
     lost = told[old.member.address].of("role", **{"is": "leads no more"})
     if len(lost) != 1 or not lost[0]["why"].startswith("unanswered 0."):
-        faults.append(f"lost: {lost}")
+        faults.append(f"lost leadership: {lost}")
     elif min(lost[0]["answered_s"].values()) < 0.6:
-        faults.append(f"answers: {lost}")
+        faults.append(f"time since answers: {lost}")
     won = told[new.member.address].of("stand", end="won")
     if len(won) != 1 or "granted" not in won[0]["answers"].values():
-        faults.append(f"won: {won}")
+        faults.append(f"won election: {won}")
     elif won[0]["heard_s"] < 0.6:
-        faults.append(f"stood early: {won}")
+        faults.append(f"started an election too early: {won}")
     if not told[new.member.address].of("role", **{"is": "leads"}):
-        faults.append("Nobody told that it leads.")
+        faults.append("The new leader did not report its role.")
     third = (set(told) - {old.member.address, new.member.address}).pop()
     if not told[third].of("role", **{"is": "follows"}):
-        faults.append("Nobody told that it follows.")
+        faults.append("The follower did not report its role.")
     if not told[third].of("ballot", pre=False, refused=None):
-        faults.append("Nobody told that it voted.")
+        faults.append("The follower did not report its vote.")
     return faults
 
 
@@ -92,16 +92,16 @@
     faults = []
     stands = told[node.member.address].of("stand", end="no word")
     if len(stands) != 1:
-        return [f"stands: {stands}"]
+        return [f"elections: {stands}"]
     answers = stands[0]["answers"]
     if len(answers) != 2 or answers[leader.name] != "holds the lease":
-        faults.append(f"answers: {answers}")
+        faults.append(f"vote answers: {answers}")
     for address, one in told.items():
         ballots = one.of("ballot", candidate=node.member.id, pre=True)
         if address != node.member.address and not ballots[0]["refused"]:
             faults.append(f"{address}: {ballots}")
     if leader.term != term or not leader.holds_lease():
-        faults.append("The leader was disturbed.")
+        faults.append("The leader lost its term or its lease.")
     return faults
 
 
@@ -111,7 +111,7 @@
 
 
 def _spin(seconds: float) -> None:
-    """Use the processor for so long."""
+    """Keep the processor busy for some seconds."""
     until = time.perf_counter() + seconds
     while time.perf_counter() < until:
         pass
@@ -124,32 +124,32 @@
         await asyncio.sleep(0.3)
         _spin(BLOCKED_S)
         gc.collect()
-        # Before the loop could look at how late it is.
+        # The event is logged before the lag probe runs again.
         vitals.saw("role", {"is": "leads no more"})
         await asyncio.sleep(1.0)
     return observe.as_text(metrics.snapshot())
 
 
 def _late_loop() -> list[str]:
-    """A loop that stood still shows in the very next line."""
+    """The next event after a blocked loop carries the lag."""
     written = io.StringIO()
     with observe.EventLog("r1", written):
         text = asyncio.run(_block())
     faults = []
     (line,) = _lines(written, "role")
     if line["lag_s"] < BLOCKED_S - 0.03 or line["cpu_s"] <= 0.05:
-        faults.append(f"figures: {line}")
+        faults.append(f"lag or CPU time: {line}")
     if line["collected_s"] <= 0 or line["resident_mb"] <= 1:
-        faults.append(f"memory: {line}")
+        faults.append(f"collection time or memory: {line}")
     if not _lines(written, "late"):
-        faults.append("No line on the late second.")
+        faults.append("No event for the second with the lag.")
     if "loop_lag_worst_count" not in text:
         faults.append(text)
     return faults
 
 
 def _shed_calls() -> list[str]:
-    """Refused calls are counted, and share a line a second."""
+    """Shed calls are counted, and logged at most once a second."""
     written = io.StringIO()
     metrics = observe.Metrics()
     server = wire.PeerServer()
@@ -169,7 +169,7 @@
     lines = _lines(written, "shed")
     faults = []
     if not 1 <= len(lines) <= most:
-        faults.append(f"{len(lines)} lines")
+        faults.append(f"{len(lines)} events for shed calls")
     if f"calls_shed_count{{call=ask}} {CALLS}" not in observe.as_text(
         metrics.snapshot()
     ):
@@ -178,17 +178,17 @@
 
 
 class _HandClock:
-    """A clock that work moves on, and waiting does not."""
+    """A clock that only work() advances."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
 
     def perf_counter(self) -> float:
-        """Return the seconds so far."""
+        """Return the current time in seconds."""
         return self.now_s
 
     def work(self, seconds: float) -> None:
-        """Let work take so long."""
+        """Advance the clock, as work that takes this long."""
         self.now_s += seconds
 
 
@@ -204,7 +204,7 @@
 
     async def failing() -> None:
         await asyncio.sleep(0)
-        raise wire.NotFoundError("Nothing.")
+        raise wire.NotFoundError("The entry does not exist.")
 
     faults = []
     if await observe.timed(metrics, "ask", work) != "done":
@@ -227,17 +227,17 @@
     if done != observe.WorkDone(0.75, 1, 100, 30):
         faults.append(f"counted {done}")
     if log.since_last():
-        faults.append("What was told is told again.")
+        faults.append("Work that was reported is reported again.")
     return faults
 
 
 async def _other_work(clock: _HandClock) -> None:
-    """Work that the counted one waits for."""
+    """Advance the clock in a task that the measured work awaits."""
     clock.work(5.0)
 
 
 def _steps_not_waits() -> list[str]:
-    """The steps of a kind of work are counted, not what it waits for."""
+    """Work is charged for its own steps, not for what it awaits."""
     clock = _HandClock()
     with unittest.mock.patch.object(_work, "time", clock):
         return asyncio.run(_work_and_waits(clock))
@@ -254,7 +254,7 @@
 
 
 def _work_told() -> list[str]:
-    """What was done shows in a line now and then, and in a table."""
+    """Work is logged periodically and shown in the explain tables."""
     written = io.StringIO()
     with observe.EventLog("e1", written):
         ledger.run(_some_calls())
