--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,5 +1,5 @@
 Feature: Real processes under failure
-  What memory can't show is shown with processes on loopback.
+  Covers with processes on loopback what tests in memory cannot show.
 
   Background:
     Given a system of processes
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -1,4 +1,4 @@
-"""Steps with real processes."""
+"""Steps for tests with real processes on loopback."""
 
 import asyncio
 import json
@@ -15,13 +15,13 @@
 from bergamotsail import wire
 from features.support import relay
 
-# An answer is begun again where its entry owns the engine that runs it.
+# Attempts to start a run on an engine that its entry does not own.
 MOST_STARTS = 5
 LONG = 300
 
 
 class Running:
-    """A system, an HTTP client and a loop to drive both."""
+    """A system of processes, an HTTP client and the event loop for both."""
 
     def __init__(self, context) -> None:
         self.loop = asyncio.new_event_loop()
@@ -56,7 +56,7 @@
         return wire.HttpClient()
 
     def do_close(self) -> None:
-        """End what still runs."""
+        """Cancel the remaining tasks and close the client."""
 
         async def close() -> None:
             for task in self.tasks:
@@ -68,17 +68,17 @@
         self.do(close())
 
     def do(self, work):
-        """Run work on the loop."""
+        """Run an awaitable on the event loop."""
         return self.loop.run_until_complete(work)
 
     def client_of(self, member: str) -> bench.Client:
-        """Return a caller of a member."""
+        """Return a client with a member's token."""
         return bench.Client(
             self.http, self.system.addresses, f"{member}-token"
         )
 
     async def status(self, name: str | None = None) -> dict:
-        """Return the status from a daemon that runs."""
+        """Return the status from the named, or else any running, daemon."""
         for daemon in [name] if name else self.running():
             try:
                 return await self.system.admin(
@@ -86,10 +86,10 @@
                 )
             except wire.ServingError:
                 continue
-        raise AssertionError("No daemon answers.")
+        raise AssertionError("No running daemon returned its status.")
 
     def running(self) -> list[str]:
-        """Return daemons whose process runs."""
+        """Return the names of the daemons whose process runs."""
         return [
             name
             for name in self.system.daemons
@@ -116,7 +116,7 @@
         return found[0]
 
     async def change(self, number: int) -> None:
-        """Make a change at any daemon that takes it."""
+        """Put an entry through any daemon that accepts it."""
         value = {
             "owner": "tahi",
             "pool": "sastre-llm",
@@ -138,7 +138,7 @@
         await self.system.eventually(accepted, f"change {number}")
 
     async def holds(self, name: str, numbers: range) -> bool:
-        """Whether a daemon holds all the changes."""
+        """Return whether a daemon has all the changes."""
         try:
             entries = await self.system.admin(
                 self.http, "GET", "/admin/v1/entries/adapter", name=name
@@ -149,7 +149,7 @@
         return all(f"extra-{number}" in ids for number in numbers)
 
     async def records(self, name: str) -> dict:
-        """Return what an engine counted."""
+        """Return the records of an engine stand-in."""
         address = self.system.by_name[name].address
         request = wire.HttpRequest(f"http://{address}/standin")
         return json.loads((await self.http.fetch(request)).body)
@@ -236,8 +236,8 @@
     system.kill("entry-1")
     log = system.data_folder("entry-1") / "log"
     data = bytearray(log.read_bytes())
-    # The second byte of the length of the third record, so that what the
-    # header says of the record's end is wrong, too.
+    # Flips the second byte of the third record's length, so that the offset
+    # of the record's end is wrong as well.
     start = 0
     for _ in range(2):
         start += 8 + int.from_bytes(data[start : start + 4], "little")
@@ -261,10 +261,10 @@
 
 
 async def _begin_long_answer(run: Running, avoid_owner: bool) -> dict:
-    """Start a long answer at a daemon that does not own the engine.
+    """Start a long completion at a daemon that does not own the engine.
 
-    A daemon that has not heard yet where the adapter is resident sends it
-    to another engine than the request before.
+    A daemon that does not know yet where the adapter is resident may choose
+    another engine than that of the previous request.
     """
     client = run.client
     warm = await client.complete("adapter-0", "warm", 2)
@@ -300,7 +300,9 @@
             }
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-    raise AssertionError(f"Each answer ran at an engine of its entry: {owner}")
+    raise AssertionError(
+        f"Every run was on an engine that its entry owns: {owner}"
+    )
 
 
 async def _owner_of(run: Running, target: str) -> str:
@@ -314,7 +316,7 @@
 
 
 async def _runs_by_engine(run: Running) -> dict[str, int]:
-    """Return how many runs each engine has begun."""
+    """Return how many runs each engine has started."""
     found = {}
     for name in run.system.engines:
         records = await run.records(name)
@@ -323,7 +325,7 @@
 
 
 async def _engine_that_runs(run: Running, before: dict[str, int]) -> str:
-    """Wait until an engine begins one more run than before; name it."""
+    """Wait until an engine starts one more run; return its name."""
     found: list[str] = []
 
     async def begun() -> bool:
@@ -331,7 +333,7 @@
         found[:] = [name for name in after if after[name] > before[name]]
         return bool(found)
 
-    await run.system.eventually(begun, "the run to begin")
+    await run.system.eventually(begun, "the run to start")
     (target,) = found
     return target
 
@@ -352,9 +354,9 @@
     wanted = standins.expected_text("adapter-0@v1", "long", LONG)
     if result.code:
         assert result.code in ("truncated", "deadline"), result
-        assert wanted.startswith(result.text), "spliced"
+        assert wanted.startswith(result.text), "not a prefix"
     else:
-        assert result.text == wanted, "not exact"
+        assert result.text == wanted, "the text differs from the expected one"
 
 
 @behave.then("the engine gets another owner")
@@ -377,7 +379,7 @@
     run = context.run
     run.system.kill(context.long["entry"])
     context.first = run.do(context.long["task"])
-    assert context.first.code, "the stream should have broken"
+    assert context.first.code, "the stream did not fail with its entry"
 
 
 @behave.when("the caller reconnects with the id of its last event")
@@ -498,7 +500,7 @@
 
 
 async def _resend_over_kills(run: Running) -> list[tuple[str, bool]]:
-    """Resend calls, with one key each, while entries are killed."""
+    """Send calls, each retried under one key, while entries are killed."""
     client = run.client
     outcomes = []
 
@@ -598,7 +600,8 @@
 
         await run.system.eventually(known, "the relay's address")
         leader = await run.leader()
-        # Its owner must take the new address up, as after a restart.
+        # Kills the owner, so that the next one uses the relay's address, as
+        # after a restart of the engine.
         status = await run.status()
         owner = next(
             t["owner"].partition("#")[0]
@@ -636,7 +639,7 @@
 
 @behave.then("curl gets a streamed answer that ends in its end mark")
 def by_curl(context) -> None:
-    assert shutil.which("curl"), "install curl"
+    assert shutil.which("curl"), "curl is not installed"
     address = context.run.system.addresses[0]
     body = {
         "model": "adapter-0",
@@ -668,7 +671,7 @@
 
 
 def _bad_requests() -> dict[str, tuple[str, str, bytes | None, dict]]:
-    """Return method, path, body and headers by name of the request."""
+    """Return method, path, body and headers by the request's name."""
     tahi = {"Authorization": "Bearer tahi-token"}
     lakeshore = {"Authorization": "Bearer lakeshore-token"}
     ops = {"Authorization": f"Bearer {bench_token()}"}
@@ -718,7 +721,7 @@
 
 
 def bench_token() -> str:
-    """Return the operator's token of the system of processes."""
+    """Return the operator token of the system of processes."""
     return "demo-operator-token"
 
 
@@ -741,11 +744,11 @@
     assert not wrong, wrong
 
 
-# The daemons of these tests take bodies of 4 MiB.
+# The daemons of these tests accept bodies of up to 4 MiB.
 OVER_LIMIT = 5 * 1024 * 1024
 OVER_TWICE = 9 * 1024 * 1024
 PIECE = b"x" * 65536
-# Longer than a server that answers early takes to close.
+# Longer than a server that responds early takes to close the connection.
 SLOW_S = 0.3
 BODY_BY_NAME = {
     "declared over the limit": (RUN_PATH, OVER_LIMIT, False),
@@ -759,7 +762,7 @@
 async def _send_slowly(
     address: str, path: str, size: int, chunked: bool
 ) -> bytes:
-    """Send a body with a pause within it; return the answer's first line."""
+    """Send a body with pauses; return the status line of the response."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     length = (
