--- a/features/steps/heard.py
+++ b/features/steps/heard.py
@@ -12,6 +12,6 @@
 
 @behave.when("each guard of what targets say is switched off")
 def heard_mutants(context) -> None:
-    context.mutants = heard.GUARDS
-    numbers = range(len(heard.GUARDS))
+    context.mutants = heard.MUTANTS
+    numbers = range(len(heard.MUTANTS))
     context.found = [heard.run_mutant(number) for number in numbers]
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -16,11 +16,11 @@
 from features.support import relay
 
 # Attempts to start a run on an engine that its entry does not own.
-MOST_STARTS = 5
-LONG = 300
+MAX_STARTS = 5
+LONG_TOKENS = 300
 
 
-class Running:
+class RunningSystem:
     """A system of processes, an HTTP client and the event loop for both."""
 
     def __init__(self, context) -> None:
@@ -44,10 +44,10 @@
                 )
             )
         )
-        self.http = self.do(self._make_http())
-        context.stack.callback(self.do_close)
-        self.do(self.system.start(self.http))
-        self.do(demo.create_entries(self.system, self.http, 8))
+        self.http = self.run_sync(self._make_http())
+        context.stack.callback(self.shut_down)
+        self.run_sync(self.system.start(self.http))
+        self.run_sync(demo.create_entries(self.system, self.http, 8))
         self.client = self.client_of("tahi")
         self.results: list = []
         self.tasks: list = []
@@ -55,7 +55,7 @@
     async def _make_http(self) -> wire.HttpClient:
         return wire.HttpClient()
 
-    def do_close(self) -> None:
+    def shut_down(self) -> None:
         """Cancel the remaining tasks and close the client."""
 
         async def close() -> None:
@@ -65,9 +65,9 @@
             self.http.close()
             await asyncio.sleep(0)
 
-        self.do(close())
+        self.run_sync(close())
 
-    def do(self, work):
+    def run_sync(self, work):
         """Run an awaitable on the event loop."""
         return self.loop.run_until_complete(work)
 
@@ -157,18 +157,18 @@
 
 @behave.given("a system of processes")
 def a_system(context) -> None:
-    context.run = Running(context)
+    context.run = RunningSystem(context)
 
 
 @behave.given("{count:d} accepted changes")
 def accepted_changes(context, count: int) -> None:
     for number in range(count):
-        context.run.do(context.run.change(number))
+        context.run.run_sync(context.run.change(number))
 
 
 @behave.when("the leader is killed")
 def kill_leader(context) -> None:
-    context.killed = context.run.do(context.run.leader())
+    context.killed = context.run.run_sync(context.run.leader())
     context.run.system.kill(context.killed)
 
 
@@ -182,7 +182,7 @@
 def all_hold(context, count: int) -> None:
     run = context.run
     for name in run.running():
-        run.do(
+        run.run_sync(
             run.system.eventually(
                 lambda name=name: run.holds(name, range(count)),
                 f"{name} to hold the changes",
@@ -192,7 +192,7 @@
 
 @behave.then("a new change is accepted")
 def new_change(context) -> None:
-    context.run.do(context.run.change(1000))
+    context.run.run_sync(context.run.change(1000))
 
 
 @behave.when("all replicas are killed and start again")
@@ -202,14 +202,14 @@
         context.run.system.kill(name)
     for name in names:
         context.run.system.launch(name)
-    context.run.do(context.run.system.wait_ready(context.run.http))
+    context.run.run_sync(context.run.system.wait_ready(context.run.http))
 
 
 @behave.when("a replica loses its data folder and starts again")
 def lose_folder(context) -> None:
     run = context.run
     name = "entry-1"
-    context.old_voters = run.do(run.status())["replicas"]["voters"]
+    context.old_voters = run.run_sync(run.status())["replicas"]["voters"]
     run.system.kill(name)
     run.system.lose_disk(name)
     run.system.launch(name)
@@ -227,7 +227,7 @@
         voters = set(replicas["voters"])
         return len(voters) == 3 and len(voters - old) == 1
 
-    run.do(run.system.eventually(replaced, "the new replica to vote"))
+    run.run_sync(run.system.eventually(replaced, "the new replica to vote"))
 
 
 @behave.when("the log of a replica is damaged in the middle")
@@ -249,7 +249,7 @@
 @behave.then("it ends with code 1 and says to remove the data folder")
 def says_what_to_do(context) -> None:
     run = context.run
-    code = run.do(run.system.wait_exit("entry-1", 20))
+    code = run.run_sync(run.system.wait_exit("entry-1", 20))
     assert code == 1, code
     text = run.system.by_name["entry-1"].log.read_text()
     assert "Remove the data folder" in text, text[-500:]
@@ -260,7 +260,7 @@
     context.run.system.kill("entry-2")
 
 
-async def _begin_long_answer(run: Running, avoid_owner: bool) -> dict:
+async def _begin_long_answer(run: RunningSystem, avoid_owner: bool) -> dict:
     """Start a long completion at a daemon that does not own the engine.
 
     A daemon that does not know yet where the adapter is resident may choose
@@ -270,7 +270,7 @@
     warm = await client.complete("adapter-0", "warm", 2)
     assert not warm.code, warm
     owner = await _owner_of(run, warm.last_event.partition("~")[0])
-    for _ in range(MOST_STARTS):
+    for _ in range(MAX_STARTS):
         entry = next(
             name
             for name in run.running()
@@ -282,7 +282,7 @@
                 run.system.by_name[entry].address,
                 "adapter-0",
                 "long",
-                LONG,
+                LONG_TOKENS,
                 30.0,
                 None,
             )
@@ -305,7 +305,7 @@
     )
 
 
-async def _owner_of(run: Running, target: str) -> str:
+async def _owner_of(run: RunningSystem, target: str) -> str:
     """Return the daemon that owns an engine."""
     status = await run.status()
     return next(
@@ -315,7 +315,7 @@
     )
 
 
-async def _runs_by_engine(run: Running) -> dict[str, int]:
+async def _runs_by_engine(run: RunningSystem) -> dict[str, int]:
     """Return how many runs each engine has started."""
     found = {}
     for name in run.system.engines:
@@ -324,7 +324,7 @@
     return found
 
 
-async def _engine_that_runs(run: Running, before: dict[str, int]) -> str:
+async def _engine_that_runs(run: RunningSystem, before: dict[str, int]) -> str:
     """Wait until an engine starts one more run; return its name."""
     found: list[str] = []
 
@@ -340,7 +340,7 @@
 
 @behave.given("a long answer on its way from an engine of another daemon")
 def long_answer(context) -> None:
-    context.long = context.run.do(_begin_long_answer(context.run, False))
+    context.long = context.run.run_sync(_begin_long_answer(context.run, False))
 
 
 @behave.when("the owner of its engine is killed")
@@ -350,8 +350,8 @@
 
 @behave.then("the answer is whole and exact or ends in a typed failure")
 def whole_or_typed(context) -> None:
-    result = context.run.do(context.long["task"])
-    wanted = standins.expected_text("adapter-0@v1", "long", LONG)
+    result = context.run.run_sync(context.long["task"])
+    wanted = standins.expected_text("adapter-0@v1", "long", LONG_TOKENS)
     if result.code:
         assert result.code in ("truncated", "deadline"), result
         assert wanted.startswith(result.text), "not a prefix"
@@ -371,14 +371,14 @@
                 return owner not in ("", context.long["owner"])
         return False
 
-    run.do(run.system.eventually(moved, "another owner"))
+    run.run_sync(run.system.eventually(moved, "another owner"))
 
 
 @behave.when("the entry that streams it is killed")
 def kill_entry(context) -> None:
     run = context.run
     run.system.kill(context.long["entry"])
-    context.first = run.do(context.long["task"])
+    context.first = run.run_sync(context.long["task"])
     assert context.first.code, "the stream did not fail with its entry"
 
 
@@ -386,12 +386,12 @@
 def reconnect(context) -> None:
     run = context.run
     other = next(n for n in run.running() if n != context.long["owner"])
-    context.second = run.do(
+    context.second = run.run_sync(
         run.client.complete_at(
             run.system.by_name[other].address,
             "adapter-0",
             "long",
-            LONG,
+            LONG_TOKENS,
             30.0,
             {"Last-Event-ID": context.first.last_event},
         )
@@ -402,10 +402,10 @@
 def exact_together(context) -> None:
     assert not context.second.code, context.second
     whole = context.first.text + context.second.text
-    assert whole == standins.expected_text("adapter-0@v1", "long", LONG)
+    assert whole == standins.expected_text("adapter-0@v1", "long", LONG_TOKENS)
 
 
-async def _busy(run: Running, stop: asyncio.Event) -> None:
+async def _generate_load(run: RunningSystem, stop: asyncio.Event) -> None:
     number = 0
     tasks = []
     clients = [run.client_of("tahi"), run.client_of("lakeshore")]
@@ -431,29 +431,29 @@
 def busy(context) -> None:
     run = context.run
     context.stop_load = asyncio.Event()
-    task = run.loop.create_task(_busy(run, context.stop_load))
+    task = run.loop.create_task(_generate_load(run, context.stop_load))
     run.tasks.append(task)
     context.load = task
-    run.do(asyncio.sleep(1.5))
+    run.run_sync(asyncio.sleep(1.5))
 
 
 def _end_load(context) -> None:
     context.stop_load.set()
-    context.run.do(context.load)
+    context.run.run_sync(context.load)
 
 
 @behave.when("an owner is frozen past its lease and wakes")
 def freeze_owner(context) -> None:
     run = context.run
-    status = run.do(run.status())
+    status = run.run_sync(run.status())
     owners = {
         t["owner"].partition("#")[0] for t in status["targets"] if t["owner"]
     }
     name = sorted(owners)[-1]
     run.system.freeze(name)
-    run.do(asyncio.sleep(4.0))
+    run.run_sync(asyncio.sleep(4.0))
     run.system.wake(name)
-    run.do(asyncio.sleep(2.0))
+    run.run_sync(asyncio.sleep(2.0))
     _end_load(context)
 
 
@@ -461,7 +461,7 @@
 def no_stale(context) -> None:
     run = context.run
     for name in run.system.engines:
-        records = run.do(run.records(name))
+        records = run.run_sync(run.records(name))
         assert records["stale_orders_taken"] == 0, records
 
 
@@ -469,7 +469,7 @@
 def none_evicted(context) -> None:
     run = context.run
     for name in run.system.engines:
-        assert not run.do(run.records(name))["evicted_while_serving"]
+        assert not run.run_sync(run.records(name))["evicted_while_serving"]
 
 
 @behave.then("every answer was exact or a typed refusal")
@@ -481,10 +481,10 @@
 @behave.when("a daemon is told to stop as planned")
 def planned_stop(context) -> None:
     run = context.run
-    context.stopped = run.do(run.leader())
+    context.stopped = run.run_sync(run.leader())
     run.system.stop(context.stopped)
-    context.exit_code = run.do(run.system.wait_exit(context.stopped, 30))
-    run.do(asyncio.sleep(1.0))
+    context.exit_code = run.run_sync(run.system.wait_exit(context.stopped, 30))
+    run.run_sync(asyncio.sleep(1.0))
     _end_load(context)
 
 
@@ -499,7 +499,7 @@
     assert not bad, bad[:3]
 
 
-async def _resend_over_kills(run: Running) -> list[tuple[str, bool]]:
+async def _resend_over_kills(run: RunningSystem) -> list[tuple[str, bool]]:
     """Send calls, each retried under one key, while entries are killed."""
     client = run.client
     outcomes = []
@@ -533,9 +533,9 @@
 
 @behave.when("calls are resent while their entries are killed")
 def resend(context) -> None:
-    context.outcomes = context.run.do(_resend_over_kills(context.run))
+    context.outcomes = context.run.run_sync(_resend_over_kills(context.run))
     counts = demo.count_runs(context.run.system, context.run.http)
-    context.counts = context.run.do(counts)
+    context.counts = context.run.run_sync(counts)
 
 
 @behave.then("no call ran twice")
@@ -555,13 +555,13 @@
 @behave.when("a caller goes away in mid-stream")
 def caller_leaves(context) -> None:
     run = context.run
-    context.long = run.do(_begin_long_answer(run, False))
+    context.long = run.run_sync(_begin_long_answer(run, False))
 
     async def leave() -> None:
         context.long["task"].cancel()
         await asyncio.gather(context.long["task"], return_exceptions=True)
 
-    run.do(leave())
+    run.run_sync(leave())
 
 
 @behave.then("the engine cancels its run")
@@ -572,7 +572,7 @@
         records = await run.records(context.long["target"])
         return bool(records["cancelled"])
 
-    run.do(run.system.eventually(cancelled, "the run to be cancelled"))
+    run.run_sync(run.system.eventually(cancelled, "the run to be cancelled"))
 
 
 @behave.given("a long answer on its way from an engine behind a relay")
@@ -613,9 +613,9 @@
         await asyncio.sleep(3.0)
         context.long = await _begin_long_answer(run, False)
 
-    run.do(begin())
+    run.run_sync(begin())
     context.stack.callback(
-        lambda: run.do(context.relay.__aexit__(None, None, None))
+        lambda: run.run_sync(context.relay.__aexit__(None, None, None))
     )
 
 
@@ -631,9 +631,9 @@
     async def wait() -> bench.Result:
         return await asyncio.wait_for(context.long["task"], seconds)
 
-    result = run.do(wait())
+    result = run.run_sync(wait())
     assert result.code, result
-    wanted = standins.expected_text("adapter-0@v1", "long", LONG)
+    wanted = standins.expected_text("adapter-0@v1", "long", LONG_TOKENS)
     assert wanted.startswith(result.text)
 
 
@@ -674,7 +674,7 @@
     """Return method, path, body and headers by the request's name."""
     tahi = {"Authorization": "Bearer tahi-token"}
     lakeshore = {"Authorization": "Bearer lakeshore-token"}
-    ops = {"Authorization": f"Bearer {bench_token()}"}
+    ops = {"Authorization": f"Bearer {operator_token()}"}
 
     def run(headers=tahi, **changes) -> tuple:
         body = json.dumps(GOOD | changes).encode()
@@ -720,7 +720,7 @@
     }
 
 
-def bench_token() -> str:
+def operator_token() -> str:
     """Return the operator token of the system of processes."""
     return "demo-operator-token"
 
@@ -735,7 +735,7 @@
         request = wire.HttpRequest(
             f"http://{address}{path}", method, body, headers
         )
-        reply = context.run.do(context.run.http.fetch(request))
+        reply = context.run.run_sync(context.run.http.fetch(request))
         code = json.loads(reply.body).get("error", {}).get("code")
         if code is None:
             code = json.loads(reply.body).get("code")
@@ -745,17 +745,17 @@
 
 
 # The daemons of these tests accept bodies of up to 4 MiB.
-OVER_LIMIT = 5 * 1024 * 1024
-OVER_TWICE = 9 * 1024 * 1024
+OVER_LIMIT_BYTES = 5 * 1024 * 1024
+OVER_TWICE_BYTES = 9 * 1024 * 1024
 PIECE = b"x" * 65536
 # Longer than a server that responds early takes to close the connection.
-SLOW_S = 0.3
+SEND_PAUSE_S = 0.3
 BODY_BY_NAME = {
-    "declared over the limit": (RUN_PATH, OVER_LIMIT, False),
-    "declared over twice that": (RUN_PATH, OVER_TWICE, False),
-    "chunked over the limit": (RUN_PATH, OVER_LIMIT, True),
-    "chunked over twice that": (RUN_PATH, OVER_TWICE, True),
-    "declared on no route": ("/nothing", OVER_LIMIT // 2, False),
+    "declared over the limit": (RUN_PATH, OVER_LIMIT_BYTES, False),
+    "declared over twice that": (RUN_PATH, OVER_TWICE_BYTES, False),
+    "chunked over the limit": (RUN_PATH, OVER_LIMIT_BYTES, True),
+    "chunked over twice that": (RUN_PATH, OVER_TWICE_BYTES, True),
+    "declared on no route": ("/nothing", OVER_LIMIT_BYTES // 2, False),
 }
 
 
@@ -777,7 +777,7 @@
             writer.write(framed if chunked else piece)
             await writer.drain()
             if sent in (0, size // 2 // len(PIECE) * len(PIECE)):
-                await asyncio.sleep(SLOW_S)
+                await asyncio.sleep(SEND_PAUSE_S)
         if chunked:
             writer.write(b"0\r\n\r\n")
             await writer.drain()
@@ -793,7 +793,7 @@
     for row in context.table:
         sending = _send_slowly(address, *BODY_BY_NAME[row["body"]])
         try:
-            line = context.run.do(sending).decode()
+            line = context.run.run_sync(sending).decode()
         except OSError as error:
             line = str(error)
         if f" {row['status']} " not in line:
@@ -814,10 +814,12 @@
         await writer.drain()
         context.stack.callback(writer.transport.abort)
 
-    context.run.do(open_half())
+    context.run.run_sync(open_half())
 
 
 @behave.then("a good request is answered")
 def good_answered(context) -> None:
-    result = context.run.do(context.run.client.complete("adapter-0", "x", 3))
+    result = context.run.run_sync(
+        context.run.client.complete("adapter-0", "x", 3)
+    )
     assert not result.code, result
--- a/features/support/fatal.py
+++ b/features/support/fatal.py
@@ -21,7 +21,7 @@
 CRASH_S = 0.05
 # Three crashes cause the quarantine; a request that already runs at another
 # engine at that moment may cause a fourth.
-MOST_ENDED = 4
+MAX_CRASHES = 4
 REPEATS = 8
 
 World = world_lib.World
@@ -82,7 +82,7 @@
                 await asyncio.sleep(2.0)
             other = await _ask(world, REPEATS, "another prompt")
     faults = []
-    if len(ended) > MOST_ENDED:
+    if len(ended) > MAX_CRASHES:
         faults.append(f"{len(ended)} engines crashed, outcomes {got}")
     if got[-1] != "quarantined":
         faults.append(f"not quarantined at the end: {got}")
@@ -120,7 +120,7 @@
                 await _call(world, REPEATS, b"{}"),
             ]
     faults = []
-    if len(ended) > MOST_ENDED or got[-1] != "quarantined":
+    if len(ended) > MAX_CRASHES or got[-1] != "quarantined":
         faults.append(f"{len(ended)} fatal calls ran, outcomes {got}")
     if others != ["served", "replayed"]:
         faults.append(f"another call got {others}")
--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -29,8 +29,8 @@
 DOWN_S = 1.0
 # Users' bound: from this long after the third crash that a request caused,
 # it may reach targets three times more.
-CONTACT_S = 3.0
-MOST_AFTER = 3
+REACTION_S = 3.0
+MAX_LATE_ARRIVALS = 3
 MOST_ENDS = 3
 
 
@@ -73,14 +73,14 @@
             return
         self.up = False
         self._ended.set()
-        asyncio.get_running_loop().call_later(DOWN_S, self._back)
+        asyncio.get_running_loop().call_later(DOWN_S, self._restart)
 
     def cut(self) -> None:
         """Drop all connections without a crash."""
         self._ended.set()
         self._ended = asyncio.Event()
 
-    def _back(self) -> None:
+    def _restart(self) -> None:
         self.start += 1
         self.up = True
         self._ended = asyncio.Event()
@@ -253,7 +253,7 @@
         self.instances = _List(self)
         self.entries: list[_Entry] = []
         self.dialect: routing.Dialect = Dialect()
-        self._many = entries
+        self._entry_count = entries
         self._attempts = attempts
         self._number = 0
         self._stack = contextlib.AsyncExitStack()
@@ -274,7 +274,7 @@
         pool = catalogue.RoutePool(POOL, "/health", 64)
         table = catalogue.RouteTable(1, (route,), (pool,))
         await growth._replace_table(self, table)
-        for number in range(self._many):
+        for number in range(self._entry_count):
             await self._enter(_Entry(self, number))
         await asyncio.sleep(SETTLE_S)
         return self
@@ -332,7 +332,7 @@
             return error.code
         return "served"
 
-    async def ask_again(
+    async def ask_repeatedly(
         self, body: bytes, times: int, gap_s: float = 1.0, caller: str = "m1"
     ) -> list[str]:
         """Send a request repeatedly; return the outcome of each."""
@@ -342,17 +342,17 @@
             await asyncio.sleep(gap_s)
         return found
 
-    def held(self) -> set[str]:
+    def quarantined(self) -> set[str]:
         """Return the ids of quarantined requests, as applied from the log."""
         machine = next(iter(self.machine_by_address.values()))
         entries = machine.view.quarantine_by_id.values()
         return {entry.id for entry in entries if entry.value.held}
 
-    def faults(self, body: bytes, most: int = MOST_AFTER) -> list[str]:
+    def faults(self, body: bytes, most: int = MAX_LATE_ARRIVALS) -> list[str]:
         """Check how often a request reached targets after its third crash.
 
         Args:
-            most: arrivals allowed later than CONTACT_S after that crash.
+            most: arrivals allowed later than REACTION_S after that crash.
         """
         ends = [end.at for end in self.ended if end.body == body]
         third = sorted(ends)[MOST_ENDS - 1] if len(ends) >= MOST_ENDS else None
@@ -361,7 +361,7 @@
         late = [
             arrival
             for arrival in self.arrivals
-            if arrival.body == body and arrival.at > third + CONTACT_S
+            if arrival.body == body and arrival.at > third + REACTION_S
         ]
         if len(late) > most:
             return [
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -29,10 +29,10 @@
 PAUSE = "pause"
 # Requests already in flight when a pause begins may still arrive for this
 # long.
-ON_ITS_WAY_S = 0.5
-MOST_IN_A_PAUSE = 2
+IN_FLIGHT_S = 0.5
+MAX_SENDS_IN_PAUSE = 2
 LIST_LAG_S = 3.0
-TOLD_S = 1.0
+PROPAGATION_S = 1.0
 
 
 class Arrival(typing.NamedTuple):
@@ -148,7 +148,7 @@
             await asyncio.sleep(gap_s)
         return await asyncio.gather(*asking)
 
-    def after_leaving(self, allowed_s: float = 0.0) -> list[str]:
+    def sends_after_leaving(self, allowed_s: float = 0.0) -> list[str]:
         """List entries that sent to a target known to them to be leaving.
 
         Args:
@@ -175,7 +175,7 @@
                 )
         return sorted(faults)
 
-    def in_pauses(self) -> list[str]:
+    def sends_in_pauses(self) -> list[str]:
         """List entries that sent to a target during its pause for them."""
         by_pair: dict[tuple[int, str], list[Arrival]] = (
             collections.defaultdict(list)
@@ -188,9 +188,9 @@
                 late = [
                     a
                     for a in arrivals
-                    if told.at + ON_ITS_WAY_S < a.at < told.at + told.pause_s
+                    if told.at + IN_FLIGHT_S < a.at < told.at + told.pause_s
                 ]
-                if len(late) > MOST_IN_A_PAUSE:
+                if len(late) > MAX_SENDS_IN_PAUSE:
                     faults.append(
                         f"entry {entry} sent {len(late)} requests to"
                         f" paused target {target}"
@@ -203,7 +203,7 @@
     async with World() as world:
         world.leaving.add(world.targets[0].id)
         ended = await world.load(LIST_LAG_S + 2.0, 0.02)
-        faults = world.after_leaving(TOLD_S)
+        faults = world.sends_after_leaving(PROPAGATION_S)
         return faults + _unserved(ended, 0)
 
 
@@ -214,7 +214,7 @@
         await asyncio.sleep(3.0)
         world.leaving.add(world.targets[0].id)
         ended = await world.load(3.0, 0.05, at=0)
-        return world.after_leaving() + _unserved(ended, 0)
+        return world.sends_after_leaving() + _unserved(ended, 0)
 
 
 async def leaving_over_a_leader() -> list[str]:
@@ -234,7 +234,7 @@
             if info.leaving
             else ["the new leader does not know that the target is leaving"]
         )
-        return faults + world.after_leaving() + _unserved(ended, 0)
+        return faults + world.sends_after_leaving() + _unserved(ended, 0)
 
 
 async def next_start_takes_work() -> list[str]:
@@ -250,7 +250,7 @@
         ended = await world.load(2.0, 0.05)
         again = [a for a in world.reached if a.target == target.id]
         faults = [] if again else ["the next incarnation got no requests"]
-        return faults + world.after_leaving() + _unserved(ended, 0)
+        return faults + world.sends_after_leaving() + _unserved(ended, 0)
 
 
 async def paused() -> list[str]:
@@ -269,7 +269,7 @@
             if a.target == target and a.at > well_at + 8.1
         ]
         faults = [] if back else ["the target got no requests after its pause"]
-        return faults + world.in_pauses() + _unserved(ended, 0)
+        return faults + world.sends_in_pauses() + _unserved(ended, 0)
 
 
 async def paused_by_forty() -> list[str]:
@@ -277,7 +277,7 @@
     async with World(entries=40, count=4) as world:
         world.pause_by_target[world.targets[0].id] = 2.0
         ended = await world.load(5.0, 0.01)
-        return world.in_pauses() + _unserved(ended, 0)
+        return world.sends_in_pauses() + _unserved(ended, 0)
 
 
 async def all_paused() -> list[str]:
@@ -288,7 +288,7 @@
         await world.load(0.5, 0.02)
         world.pause_by_target.clear()
         ended = await world.load(2.0, 0.05)
-        return world.in_pauses() + _unserved(ended, 0)
+        return world.sends_in_pauses() + _unserved(ended, 0)
 
 
 async def all_paused_for_long() -> list[str]:
@@ -327,7 +327,7 @@
         left_s = error.retry_after_s if error is not None else None
         if left_s is None or not 50.0 < left_s <= 60.0:
             faults.append(f"retry_after_s is {left_s}")
-        return faults + world.in_pauses()
+        return faults + world.sends_in_pauses()
 
 
 async def paused_in_an_election() -> list[str]:
@@ -337,10 +337,10 @@
             await world.stop(address)
         world.pause_by_target[world.targets[0].id] = 2.0
         ended = await world.load(5.0, 0.02)
-        return world.in_pauses() + _unserved(ended, 0)
+        return world.sends_in_pauses() + _unserved(ended, 0)
 
 
-class _Granting:
+class _FakePlacer:
     """Grants places at engines in list order, unaware of pauses."""
 
     def __init__(self, world: World) -> None:
@@ -373,10 +373,10 @@
         return None
 
 
-async def _granted(
+async def _run_while_placing(
     say: collections.abc.Callable[[control.Heard, str, float], None],
     wait_s: float = 0.0,
-) -> tuple[list[str], _Granting, float]:
+) -> tuple[list[str], _FakePlacer, float]:
     """Send a request; call *say* while it waits for a place.
 
     Returns:
@@ -384,7 +384,7 @@
     """
     async with World(entries=1) as world:
         entry, loop = world.entries[0], asyncio.get_running_loop()
-        granting = _Granting(world)
+        granting = _FakePlacer(world)
         granting.wait_s = wait_s
         entry.forwarder._places = granting
         pool = catalogue.RoutePool(
@@ -418,7 +418,7 @@
 
     The request then runs at another target.
     """
-    reached, granting, _ = await _granted(
+    reached, granting, _ = await _run_while_placing(
         lambda heard, target, now: heard.leaves(target), 0.4
     )
     faults = []
@@ -431,7 +431,7 @@
 
 async def short_pause_is_waited_out() -> list[str]:
     """A short pause is waited out rather than loading elsewhere."""
-    reached, granting, took_s = await _granted(
+    reached, granting, took_s = await _run_while_placing(
         lambda heard, target, now: heard.pauses(target, 0.4, now), 0.1
     )
     faults = []
@@ -444,7 +444,7 @@
 
 async def long_pause_is_avoided() -> list[str]:
     """For a long pause a place at another engine is requested."""
-    reached, granting, took_s = await _granted(
+    reached, granting, took_s = await _run_while_placing(
         lambda heard, target, now: heard.pauses(target, 5.0, now), 0.1
     )
     if reached != [granting.given[-1]] or took_s > 1.0:
@@ -471,7 +471,7 @@
                 target.end()
         world.pause_by_target.clear()
         await asking
-        return world.after_leaving() + world.in_pauses()
+        return world.sends_after_leaving() + world.sends_in_pauses()
 
 
 async def some_random_words() -> list[str]:
@@ -519,7 +519,7 @@
 # replacement.
 
 Heard = control.Heard
-GUARDS: tuple[tuple[str, str, object, str, object], ...] = (
+MUTANTS: tuple[tuple[str, str, object, str, object], ...] = (
     ("leaving", "leaving_while_cut_off", Heard, "leaves", lambda *_: False),
     ("told", "leaving_ahead_of_the_list", Heard, "untold", lambda *_: ()),
     ("told again", "leaving_over_a_leader", Heard, "untold", lambda *_: ()),
@@ -543,7 +543,7 @@
 
 def run_mutant(number: int) -> list[str]:
     """Run a mutant's scenario with its guard disabled."""
-    _, scenario, owner, name, off = GUARDS[number]
+    _, scenario, owner, name, off = MUTANTS[number]
     with contextlib.ExitStack() as stack:
         stack.enter_context(unittest.mock.patch.object(owner, name, off))
         return run_scenario(scenario)
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -29,7 +29,7 @@
 
 CRASH_S = fatal_world.CRASH_S
 MOST_ENDS = fatal_world.MOST_ENDS
-MOST_AFTER = fatal_world.MOST_AFTER
+MAX_LATE_ARRIVALS = fatal_world.MAX_LATE_ARRIVALS
 POOL = fatal_world.POOL
 
 World = fatal_world.World
@@ -144,7 +144,7 @@
     """A fatal request is refused at every entry after three crashes."""
     async with World() as world:
         world.fatal = {b"bad"}
-        got = await world.ask_again(b"bad", 12)
+        got = await world.ask_repeatedly(b"bad", 12)
         faults = world.faults(b"bad", 0)
         if got[4:] != ["quarantined"] * 8:
             faults.append(f"outcomes {got}")
@@ -170,10 +170,10 @@
     """A new leader learns of two crashes seen before the leader was lost."""
     async with World() as world:
         world.fatal = {b"bad"}
-        await world.ask_again(b"bad", 2)
+        await world.ask_repeatedly(b"bad", 2)
         await world.stop((await world.leader()).member.address)
         await asyncio.sleep(3.0)
-        await world.ask_again(b"bad", 10)
+        await world.ask_repeatedly(b"bad", 10)
         ends = len(world.ended)
         faults = world.faults(b"bad", 0)
         return faults + ([f"{ends} crashes"] if ends > 4 else [])
@@ -183,14 +183,14 @@
     """The leader is lost at the third crash."""
     async with World() as world:
         world.fatal = {b"bad"}
-        await world.ask_again(b"bad", 2)
+        await world.ask_repeatedly(b"bad", 2)
         lost = (await world.leader()).member.address
         asking = asyncio.create_task(world.ask(b"bad"))
         await asyncio.sleep(CRASH_S + 0.02)
         await world.stop(lost)
         await asking
         await asyncio.sleep(2.0)
-        await world.ask_again(b"bad", 10)
+        await world.ask_repeatedly(b"bad", 10)
         return world.faults(b"bad")
 
 
@@ -198,10 +198,10 @@
     """A quarantine survives a restart of all replicas and entries."""
     async with World() as world:
         world.fatal = {b"bad"}
-        await world.ask_again(b"bad", 5)
+        await world.ask_repeatedly(b"bad", 5)
         before = len(world.ended)
         await world.restart_all()
-        got = await world.ask_again(b"bad", 6)
+        got = await world.ask_repeatedly(b"bad", 6)
         faults = [] if len(world.ended) == before else ["more targets crashed"]
         if set(got) != {"quarantined"}:
             faults.append(f"outcomes {got}")
@@ -215,7 +215,7 @@
             target.keeps_name = True
         await asyncio.sleep(1.0)
         world.fatal = {b"bad"}
-        await world.ask_again(b"bad", 12, gap_s=2.0)
+        await world.ask_repeatedly(b"bad", 12, gap_s=2.0)
         return world.faults(b"bad", 0)
 
 
@@ -224,8 +224,8 @@
     async with World() as world:
         world.fatal = {b"bad", b"worse"}
         await asyncio.gather(
-            world.ask_again(b"bad", 14),
-            world.ask_again(b"worse", 14, 1.1, "m2"),
+            world.ask_repeatedly(b"bad", 14),
+            world.ask_repeatedly(b"worse", 14, 1.1, "m2"),
         )
         return world.faults(b"bad") + world.faults(b"worse")
 
@@ -258,7 +258,7 @@
             return got
 
         asking = [asyncio.create_task(one(n)) for n in range(600)]
-        await world.ask_again(b"bad", 12)
+        await world.ask_repeatedly(b"bad", 12)
         got = collections.Counter(await asyncio.gather(*asking))
         faults = world.faults(b"bad")
         if got["quarantined"] or got["served"] < 590:
@@ -304,10 +304,10 @@
 async def _runs_again_later() -> list[str]:
     async with World() as world:
         world.fatal = {b"bad"}
-        await world.ask_again(b"bad", 5)
+        await world.ask_repeatedly(b"bad", 5)
         ended = len(world.ended)
         await asyncio.sleep(_quarantine.hold_s(MOST_ENDS) + 1.0)
-        await world.ask_again(b"bad", 4)
+        await world.ask_repeatedly(b"bad", 4)
         faults = []
         if len(world.ended) != ended + 1:
             faults.append(
@@ -318,8 +318,8 @@
             faults.append("the second hold was not longer")
         world.fatal = set()
         await asyncio.sleep(_quarantine.hold_s(MOST_ENDS) + 1.0)
-        got = await world.ask_again(b"bad", 3)
-        if got != ["served"] * 3 or world.held():
+        got = await world.ask_repeatedly(b"bad", 3)
+        if got != ["served"] * 3 or world.quarantined():
             faults.append(f"outcomes when no longer fatal: {got}")
         return faults
 
@@ -328,8 +328,8 @@
     """A request runs again once an operator deletes its entry."""
     async with World() as world:
         world.fatal = {b"bad"}
-        await world.ask_again(b"bad", 5)
-        (identity,) = world.held()
+        await world.ask_repeatedly(b"bad", 5)
+        (identity,) = world.quarantined()
         world.fatal = set()
         put = catalogue.Put(
             catalogue.Kind.QUARANTINE, identity, None, "op1", "operator"
@@ -348,8 +348,8 @@
     """
     async with World() as world:
         world.fatal = {b"bad"}
-        await world.ask_again(b"bad", 5)
-        (identity,) = world.held()
+        await world.ask_repeatedly(b"bad", 5)
+        (identity,) = world.quarantined()
         leader = await world.leader()
         put = catalogue.Put(
             catalogue.Kind.QUARANTINE, identity, None, "op1", "operator"
@@ -359,7 +359,7 @@
         await world.stop(leader.member.address)
         await asyncio.sleep(3.0)
         world.fatal = set()
-        got = await world.ask_again(b"bad", 2)
+        got = await world.ask_repeatedly(b"bad", 2)
         return [] if got == ["served"] * 2 else [f"outcomes {got}"]
 
 
@@ -417,7 +417,7 @@
         ]
         for _ in range(rng.randint(2, 5)):
             await asyncio.sleep(rng.uniform(1.0, 3.0))
-            await _mishap(world, rng)
+            await _inject_fault(world, rng)
         await asyncio.sleep(12.0)
         for task in tasks:
             task.cancel()
@@ -425,14 +425,14 @@
         faults = [
             f"seed {seed}: {fault}"
             for body in bad
-            for fault in world.faults(body, MOST_AFTER)
+            for fault in world.faults(body, MAX_LATE_ARRIVALS)
         ]
         if got["good", "quarantined"]:
             faults.append(f"seed {seed}: {dict(got)}")
         return faults
 
 
-async def _mishap(world: World, rng: random.Random) -> None:
+async def _inject_fault(world: World, rng: random.Random) -> None:
     what = rng.randrange(4)
     if what == 0:
         rng.choice(world.targets).end()
@@ -475,13 +475,13 @@
 }
 
 
-def _told_once(seen: quarantine.Observations, term: int) -> tuple:
+def _pending_once(seen: quarantine.Observations, term: int) -> tuple:
     """Report to a new leader only what no other leader was told."""
     seen._told_term = term
-    return _pending(seen, term)
+    return _original_pending(seen, term)
 
 
-def _put_in_order(
+def _put_fifo(
     own: _ends._MemberSuspects, identity: str, suspect: quarantine.Suspect
 ) -> str | None:
     """Append a suspect, and evict the oldest one if there are too many."""
@@ -492,11 +492,11 @@
     return own.once.popitem(last=False)[0]
 
 
-async def _never(_: object) -> None:
+async def _do_nothing(_: object) -> None:
     """Do nothing."""
 
 
-async def _always(*_: object) -> bool:
+async def _allow(*_: object) -> bool:
     """Allow every run."""
     return True
 
@@ -522,7 +522,7 @@
     (
         "tell each thing once in all",
         "leader_lost_before_third",
-        (quarantine.Observations, "pending", _told_once),
+        (quarantine.Observations, "pending", _pending_once),
     ),
     (
         "count each target of a rack",
@@ -537,12 +537,12 @@
     (
         "run copies side by side",
         "at_all_at_once",
-        (_quarantine.Quarantine, "run_alone", _always),
+        (_quarantine.Quarantine, "run_alone", _allow),
     ),
     (
         "let what was lost once push out what was lost again",
         "members_apart",
-        (_ends._MemberSuspects, "put", _put_in_order),
+        (_ends._MemberSuspects, "put", _put_fifo),
     ),
     (
         "send one attempt on and on",
@@ -562,10 +562,10 @@
     (
         "hold for good",
         "runs_again_later",
-        (_quarantine.Quarantine, "tend", _never),
+        (_quarantine.Quarantine, "tend", _do_nothing),
     ),
 )
-_pending = quarantine.Observations.pending
+_original_pending = quarantine.Observations.pending
 
 
 def run_scenario(name: str) -> list[str]:
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -23,7 +23,7 @@
 CALLS = 500
 
 
-class _Told(quorum.Witness):
+class _RecordingWitness(quorum.Witness):
     """Records the events that one replica reports."""
 
     def __init__(self) -> None:
@@ -42,45 +42,53 @@
         ]
 
 
-async def _watched() -> tuple[growth.Replicas, dict[str, _Told]]:
+async def _form_watched() -> (
+    tuple[growth.Replicas, dict[str, _RecordingWitness]]
+):
     replicas = growth.Replicas(3)
     await replicas.form()
     await asyncio.sleep(1.0)
-    told = {}
+    witness_by_address = {}
     for address, node in replicas.node_by_address.items():
-        node.witness = told[address] = _Told()
-    return replicas, told
+        node.witness = witness_by_address[address] = _RecordingWitness()
+    return replicas, witness_by_address
 
 
 async def _lost_lead() -> list[str]:
-    replicas, told = await _watched()
+    replicas, witness_by_address = await _form_watched()
     old = await replicas.leader()
     replicas.network.isolate(old.member.address)
     await asyncio.sleep(3.0)
     new = await replicas.leader()
     faults = []
-    lost = told[old.member.address].of("role", **{"is": "leads no more"})
+    lost = witness_by_address[old.member.address].of(
+        "role", **{"is": "leads no more"}
+    )
     if len(lost) != 1 or not lost[0]["why"].startswith("unanswered 0."):
         faults.append(f"lost leadership: {lost}")
     elif min(lost[0]["answered_s"].values()) < 0.6:
         faults.append(f"time since answers: {lost}")
-    won = told[new.member.address].of("stand", end="won")
+    won = witness_by_address[new.member.address].of("stand", end="won")
     if len(won) != 1 or "granted" not in won[0]["answers"].values():
         faults.append(f"won election: {won}")
     elif won[0]["heard_s"] < 0.6:
         faults.append(f"started an election too early: {won}")
-    if not told[new.member.address].of("role", **{"is": "leads"}):
+    if not witness_by_address[new.member.address].of(
+        "role", **{"is": "leads"}
+    ):
         faults.append("The new leader did not report its role.")
-    third = (set(told) - {old.member.address, new.member.address}).pop()
-    if not told[third].of("role", **{"is": "follows"}):
+    third = (
+        set(witness_by_address) - {old.member.address, new.member.address}
+    ).pop()
+    if not witness_by_address[third].of("role", **{"is": "follows"}):
         faults.append("The follower did not report its role.")
-    if not told[third].of("ballot", pre=False, refused=None):
+    if not witness_by_address[third].of("ballot", pre=False, refused=None):
         faults.append("The follower did not report its vote.")
     return faults
 
 
 async def _refused_stand() -> list[str]:
-    replicas, told = await _watched()
+    replicas, witness_by_address = await _form_watched()
     leader = await replicas.leader()
     node = next(
         node
@@ -90,13 +98,13 @@
     term = leader.term
     await node._stand(False)
     faults = []
-    stands = told[node.member.address].of("stand", end="no word")
+    stands = witness_by_address[node.member.address].of("stand", end="no word")
     if len(stands) != 1:
         return [f"elections: {stands}"]
     answers = stands[0]["answers"]
     if len(answers) != 2 or answers[leader.name] != "holds the lease":
         faults.append(f"vote answers: {answers}")
-    for address, one in told.items():
+    for address, one in witness_by_address.items():
         ballots = one.of("ballot", candidate=node.member.id, pre=True)
         if address != node.member.address and not ballots[0]["refused"]:
             faults.append(f"{address}: {ballots}")
@@ -110,19 +118,19 @@
     return [line for line in lines if line["what"] == what]
 
 
-def _spin(seconds: float) -> None:
+def _busy_wait(seconds: float) -> None:
     """Keep the processor busy for some seconds."""
     until = time.perf_counter() + seconds
     while time.perf_counter() < until:
         pass
 
 
-async def _block() -> str:
+async def _block_loop() -> str:
     metrics = observe.Metrics()
     lag = daemon.LoopLag()
     async with lag, daemon.Vitals(lag, metrics) as vitals:
         await asyncio.sleep(0.3)
-        _spin(BLOCKED_S)
+        _busy_wait(BLOCKED_S)
         gc.collect()
         # The event is logged before the lag probe runs again.
         vitals.saw("role", {"is": "leads no more"})
@@ -134,7 +142,7 @@
     """The next event after a blocked loop carries the lag."""
     written = io.StringIO()
     with observe.EventLog("r1", written):
-        text = asyncio.run(_block())
+        text = asyncio.run(_block_loop())
     faults = []
     (line,) = _lines(written, "role")
     if line["lag_s"] < BLOCKED_S - 0.03 or line["cpu_s"] <= 0.05:
@@ -177,7 +185,7 @@
     return faults
 
 
-class _HandClock:
+class _ManualClock:
     """A clock that only work() advances."""
 
     def __init__(self) -> None:
@@ -192,7 +200,7 @@
         self.now_s += seconds
 
 
-async def _work_and_waits(clock: _HandClock) -> list[str]:
+async def _work_and_waits(clock: _ManualClock) -> list[str]:
     metrics = observe.Metrics()
 
     async def work() -> str:
@@ -231,14 +239,14 @@
     return faults
 
 
-async def _other_work(clock: _HandClock) -> None:
+async def _other_work(clock: _ManualClock) -> None:
     """Advance the clock in a task that the measured work awaits."""
     clock.work(5.0)
 
 
 def _steps_not_waits() -> list[str]:
     """Work is charged for its own steps, not for what it awaits."""
-    clock = _HandClock()
+    clock = _ManualClock()
     with unittest.mock.patch.object(_work, "time", clock):
         return asyncio.run(_work_and_waits(clock))
 
@@ -249,7 +257,7 @@
     async with lag, daemon.Vitals(lag, metrics, role="entry"):
         observe.count_message(metrics, "place", received=10, sent=20)
         with observe.spent(metrics, "place"):
-            _spin(0.01)
+            _busy_wait(0.01)
         await asyncio.sleep(_vitals.WORK_LINE_S + 0.5)
 
 
