--- a/features/heard.feature
+++ b/features/heard.feature
@@ -1,9 +1,9 @@
-Feature: What targets say of themselves in their answers
+Feature: Targets that report that they are leaving or paused
   The instance list lags, so what a response says of the target that sent it
   applies at once.
 
-  Scenario Outline: <scenario>: what a target says is kept to
-    When targets speak of themselves in <scenario>
+  Scenario Outline: <scenario>: entries obey what targets report
+    When targets report that they are leaving or paused in <scenario>
     Then no promise is broken
 
     Examples:
@@ -22,6 +22,6 @@
       | long_pause_is_avoided               |
       | some_random_words                   |
 
-  Scenario: Every guard of what targets say that is switched off is noticed
-    When each guard of what targets say is switched off
+  Scenario: Every disabled guard of what targets report is noticed
+    When each guard of what targets report is disabled
     Then each is noticed there
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,8 +1,8 @@
 Feature: Requests that crash the targets that run them
   Real replicas, sessions and forwarders run in virtual time.
 
-  Scenario Outline: <scenario>: such a request stops, others go on
-    When requests end targets in <scenario>
+  Scenario Outline: <scenario>: only fatal requests are quarantined
+    When requests crash targets in <scenario>
     Then no promise is broken
 
     Examples:
@@ -29,6 +29,6 @@
       | fatal_prompt             |
       | fatal_call               |
 
-  Scenario: Every guard against such requests that is switched off is noticed
-    When each guard against requests that end targets is switched off
+  Scenario: Every disabled guard against such requests is noticed
+    When each guard against requests that crash targets is disabled
     Then each is noticed there
--- a/features/steps/heard.py
+++ b/features/steps/heard.py
@@ -5,12 +5,12 @@
 from features.support import heard
 
 
-@behave.when("targets speak of themselves in {name}")
+@behave.when("targets report that they are leaving or paused in {name}")
 def heard_scenario(context, name: str) -> None:
     context.faults = heard.run_scenario(name)
 
 
-@behave.when("each guard of what targets say is switched off")
+@behave.when("each guard of what targets report is disabled")
 def heard_mutants(context) -> None:
     context.mutants = heard.MUTANTS
     numbers = range(len(heard.MUTANTS))
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -9,12 +9,12 @@
 JOBS = 3
 
 
-@behave.when("requests end targets in {name}")
+@behave.when("requests crash targets in {name}")
 def quarantine_scenario(context, name: str) -> None:
     context.faults = quarantine.run_scenario(name)
 
 
-@behave.when("each guard against requests that end targets is switched off")
+@behave.when("each guard against requests that crash targets is disabled")
 def quarantine_mutants(context) -> None:
     context.mutants = quarantine.MUTANTS
     numbers = range(len(quarantine.MUTANTS))
