--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -136,7 +136,7 @@
     def make_http(self, entry: int) -> Http:
         return Http(self, entry)
 
-    async def load(
+    async def send_requests(
         self, for_s: float, gap_s: float, at: int | None = None
     ) -> list[str]:
         """Send requests at a fixed interval; return the outcome of each."""
@@ -202,7 +202,7 @@
     """All entries stop sending once one learns of it, ahead of the list."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
-        ended = await world.load(LIST_LAG_S + 2.0, 0.02)
+        ended = await world.send_requests(LIST_LAG_S + 2.0, 0.02)
         faults = world.sends_after_leaving(PROPAGATION_S)
         return faults + _unserved(ended, 0)
 
@@ -213,7 +213,7 @@
         world.network.isolate(world.entries[0].session.daemon.address)
         await asyncio.sleep(3.0)
         world.leaving.add(world.targets[0].id)
-        ended = await world.load(3.0, 0.05, at=0)
+        ended = await world.send_requests(3.0, 0.05, at=0)
         return world.sends_after_leaving() + _unserved(ended, 0)
 
 
@@ -221,12 +221,12 @@
     """Entries report a leaving target again to a new leader."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
-        await world.load(2.0, 0.05)
+        await world.send_requests(2.0, 0.05)
         leader = await world.leader()
         await world.stop(
             next(a for a, n in world.node_by_address.items() if n is leader)
         )
-        ended = await world.load(6.0, 0.05)
+        ended = await world.send_requests(6.0, 0.05)
         infos = world.entries[1].session.digest.target_by_id
         info = infos[world.targets[0].id]
         faults = (
@@ -244,10 +244,10 @@
         target.keeps_name = True
         await asyncio.sleep(LIST_LAG_S + 1.0)
         world.leaving.add(target.id)
-        await world.load(2.0, 0.05)
+        await world.send_requests(2.0, 0.05)
         target.end()
         await asyncio.sleep(LIST_LAG_S + 4.0)
-        ended = await world.load(2.0, 0.05)
+        ended = await world.send_requests(2.0, 0.05)
         again = [a for a in world.reached if a.target == target.id]
         faults = [] if again else ["the next incarnation got no requests"]
         return faults + world.sends_after_leaving() + _unserved(ended, 0)
@@ -259,10 +259,10 @@
         target = world.targets[0].id
         world.pause_by_target[target] = 8.0
         loop = asyncio.get_running_loop()
-        ended = await world.load(9.0, 0.01)
+        ended = await world.send_requests(9.0, 0.01)
         del world.pause_by_target[target]
         well_at = loop.time()
-        ended += await world.load(10.0, 0.01)
+        ended += await world.send_requests(10.0, 0.01)
         back = [
             a
             for a in world.reached
@@ -276,7 +276,7 @@
     """A target that pauses forty daemons gets few requests from each."""
     async with World(entries=40, count=4) as world:
         world.pause_by_target[world.targets[0].id] = 2.0
-        ended = await world.load(5.0, 0.01)
+        ended = await world.send_requests(5.0, 0.01)
         return world.sends_in_pauses() + _unserved(ended, 0)
 
 
@@ -285,9 +285,9 @@
     async with World() as world:
         for target in world.targets:
             world.pause_by_target[target.id] = 1.0
-        await world.load(0.5, 0.02)
+        await world.send_requests(0.5, 0.02)
         world.pause_by_target.clear()
-        ended = await world.load(2.0, 0.05)
+        ended = await world.send_requests(2.0, 0.05)
         return world.sends_in_pauses() + _unserved(ended, 0)
 
 
@@ -299,7 +299,7 @@
     async with World(entries=1) as world:
         for target in world.targets:
             world.pause_by_target[target.id] = 60.0
-        await world.load(0.5, 0.1)
+        await world.send_requests(0.5, 0.1)
         entry = world.entries[0]
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -336,7 +336,7 @@
         for address in world.addresses[:2]:
             await world.stop(address)
         world.pause_by_target[world.targets[0].id] = 2.0
-        ended = await world.load(5.0, 0.02)
+        ended = await world.send_requests(5.0, 0.02)
         return world.sends_in_pauses() + _unserved(ended, 0)
 
 
@@ -345,8 +345,8 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.given: list[str] = []
-        self.back: list[placement.UseOutcome] = []
+        self.granted: list[str] = []
+        self.released_with: list[placement.UseOutcome] = []
         self.wait_s = 0.0
 
     async def take(
@@ -356,7 +356,7 @@
             if target.id in asked.avoid:
                 continue
             await asyncio.sleep(self.wait_s)
-            self.given.append(target.id)
+            self.granted.append(target.id)
             return placement.PlaceReply(
                 target.id, target.address, None, 0.0, "test"
             )
@@ -367,26 +367,26 @@
     def give_back(
         self, request: str, target: str, outcome: placement.UseOutcome
     ) -> None:
-        self.back.append(outcome)
+        self.released_with.append(outcome)
 
     def begun(self, request: str, target: str, first_s: float) -> None:
         return None
 
 
 async def _run_while_placing(
-    say: collections.abc.Callable[[control.Heard, str, float], None],
+    notify: collections.abc.Callable[[control.Heard, str, float], None],
     wait_s: float = 0.0,
 ) -> tuple[list[str], _FakePlacer, float]:
-    """Send a request; call *say* while it waits for a place.
+    """Send a request; call *notify* while it waits for a place.
 
     Returns:
         The targets reached, the fake placer, and the time taken in seconds.
     """
     async with World(entries=1) as world:
         entry, loop = world.entries[0], asyncio.get_running_loop()
-        granting = _FakePlacer(world)
-        granting.wait_s = wait_s
-        entry.forwarder._places = granting
+        placer = _FakePlacer(world)
+        placer.wait_s = wait_s
+        entry.forwarder._places = placer
         pool = catalogue.RoutePool(
             fatal_world.POOL,
             "/h",
@@ -407,10 +407,10 @@
             entry.forwarder.serve(request, fatal_world._Answer())
         )
         await asyncio.sleep(wait_s / 2)
-        say(entry.session.heard, world.targets[0].id, loop.time())
+        notify(entry.session.heard, world.targets[0].id, loop.time())
         await asking
         reached = [arrival.target for arrival in world.reached]
-        return reached, granting, loop.time() - started_at
+        return reached, placer, loop.time() - started_at
 
 
 async def leaving_while_a_place_is_waited_for() -> list[str]:
@@ -418,25 +418,25 @@
 
     The request then runs at another target.
     """
-    reached, granting, _ = await _run_while_placing(
+    reached, placer, _ = await _run_while_placing(
         lambda heard, target, now: heard.leaves(target), 0.4
     )
     faults = []
-    if len(granting.given) != 2 or reached != [granting.given[1]]:
-        faults.append(f"granted {granting.given}, reached {reached}")
-    if granting.back[0] is not placement.UseOutcome.LEFT:
-        faults.append(f"released with {granting.back}")
+    if len(placer.granted) != 2 or reached != [placer.granted[1]]:
+        faults.append(f"granted {placer.granted}, reached {reached}")
+    if placer.released_with[0] is not placement.UseOutcome.LEFT:
+        faults.append(f"released with {placer.released_with}")
     return faults
 
 
 async def short_pause_is_waited_out() -> list[str]:
     """A short pause is waited out rather than loading elsewhere."""
-    reached, granting, took_s = await _run_while_placing(
+    reached, placer, took_s = await _run_while_placing(
         lambda heard, target, now: heard.pauses(target, 0.4, now), 0.1
     )
     faults = []
-    if set(granting.given) != {granting.given[0]}:
-        faults.append(f"other engines were granted: {granting.given}")
+    if set(placer.granted) != {placer.granted[0]}:
+        faults.append(f"other engines were granted: {placer.granted}")
     if not 0.4 < took_s < 1.2 or len(reached) != 1:
         faults.append(f"took {took_s:.2f} s, {len(reached)} sends")
     return faults
@@ -444,11 +444,11 @@
 
 async def long_pause_is_avoided() -> list[str]:
     """For a long pause a place at another engine is requested."""
-    reached, granting, took_s = await _run_while_placing(
+    reached, placer, took_s = await _run_while_placing(
         lambda heard, target, now: heard.pauses(target, 5.0, now), 0.1
     )
-    if reached != [granting.given[-1]] or took_s > 1.0:
-        return [f"granted {granting.given}, reached {reached}, {took_s:.2f} s"]
+    if reached != [placer.granted[-1]] or took_s > 1.0:
+        return [f"granted {placer.granted}, reached {reached}, {took_s:.2f} s"]
     return []
 
 
@@ -456,7 +456,7 @@
     """Targets leave, pause, resume and restart at random times."""
     rng = random.Random(seed)
     async with World(seed=seed) as world:
-        asking = asyncio.create_task(world.load(12.0, 0.03))
+        asking = asyncio.create_task(world.send_requests(12.0, 0.03))
         for _ in range(12):
             await asyncio.sleep(rng.uniform(0.2, 1.2))
             target = rng.choice(world.targets)
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -32,7 +32,7 @@
     def saw(self, what: str, fields: dict[str, object]) -> None:
         self.lines.append((what, fields))
 
-    def of(self, kind: str, **wanted: object) -> list[dict]:
+    def matching(self, kind: str, **wanted: object) -> list[dict]:
         """Return the fields of all events of a kind that have these values."""
         return [
             fields
@@ -61,28 +61,30 @@
     await asyncio.sleep(3.0)
     new = await replicas.leader()
     faults = []
-    lost = witness_by_address[old.member.address].of(
+    lost = witness_by_address[old.member.address].matching(
         "role", **{"is": "leads no more"}
     )
     if len(lost) != 1 or not lost[0]["why"].startswith("unanswered 0."):
         faults.append(f"lost leadership: {lost}")
     elif min(lost[0]["answered_s"].values()) < 0.6:
         faults.append(f"time since answers: {lost}")
-    won = witness_by_address[new.member.address].of("stand", end="won")
+    won = witness_by_address[new.member.address].matching("stand", end="won")
     if len(won) != 1 or "granted" not in won[0]["answers"].values():
         faults.append(f"won election: {won}")
     elif won[0]["heard_s"] < 0.6:
         faults.append(f"started an election too early: {won}")
-    if not witness_by_address[new.member.address].of(
+    if not witness_by_address[new.member.address].matching(
         "role", **{"is": "leads"}
     ):
         faults.append("The new leader did not report its role.")
     third = (
         set(witness_by_address) - {old.member.address, new.member.address}
     ).pop()
-    if not witness_by_address[third].of("role", **{"is": "follows"}):
+    if not witness_by_address[third].matching("role", **{"is": "follows"}):
         faults.append("The follower did not report its role.")
-    if not witness_by_address[third].of("ballot", pre=False, refused=None):
+    if not witness_by_address[third].matching(
+        "ballot", pre=False, refused=None
+    ):
         faults.append("The follower did not report its vote.")
     return faults
 
@@ -98,14 +100,16 @@
     term = leader.term
     await node._stand(False)
     faults = []
-    stands = witness_by_address[node.member.address].of("stand", end="no word")
+    stands = witness_by_address[node.member.address].matching(
+        "stand", end="no word"
+    )
     if len(stands) != 1:
         return [f"elections: {stands}"]
     answers = stands[0]["answers"]
     if len(answers) != 2 or answers[leader.name] != "holds the lease":
         faults.append(f"vote answers: {answers}")
     for address, one in witness_by_address.items():
-        ballots = one.of("ballot", candidate=node.member.id, pre=True)
+        ballots = one.matching("ballot", candidate=node.member.id, pre=True)
         if address != node.member.address and not ballots[0]["refused"]:
             faults.append(f"{address}: {ballots}")
     if leader.term != term or not leader.holds_lease():
