--- a/features/processes.feature
+++ b/features/processes.feature
@@ -63,7 +63,7 @@
     When the relay is cut in silence
     Then the caller gets a typed failure within 15 seconds
 
-  Scenario: A damaged log is refused with a word on what to do
+  Scenario: A damaged log is refused with an instruction for the operator
     Given 20 accepted changes
     When the log of a replica is damaged in the middle
     Then it ends with code 1 and says to remove the data folder
--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -109,7 +109,7 @@
     assert journey.loaded and journey.new_tokens == 3000, journey
 
 
-@behave.then("the tables say what was believed, fetched and refused")
+@behave.then("the tables show fetches, refused places and outcomes")
 def tables(context) -> None:
     text = "\n".join(context.tables)
     for wanted in (
