--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -1,4 +1,4 @@
-"""Steps about logs that are explained."""
+"""Steps for the analysis of logs by bergamotsail.explain."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 
 def _entry_lines() -> list[str]:
-    """Return an entry's lines of two requests, one refused."""
+    """Return log lines of an entry for two requests, one of them refused."""
     request = {"request": "r1"}
     return [
         _line("entry", 10.3, "route", "send", target="e1", **request),
@@ -61,7 +61,7 @@
 
 
 def _holder_lines() -> list[str]:
-    """Return what the holder of orders, on another clock, says of them."""
+    """Return log lines of the holder of orders, whose clock differs."""
     order = {"target": "e1", "adapter": "base/a1"}
     return [
         _line("holder", 900.0, "place", "wait", request="r1.0"),
@@ -109,7 +109,7 @@
     assert journey.loaded and journey.new_tokens == 3000, journey
 
 
-@behave.then("the tables say what was believed, fetched and refused")
+@behave.then("the tables show fetches, refused places and outcomes")
 def tables(context) -> None:
     text = "\n".join(context.tables)
     for wanted in (
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -1,9 +1,10 @@
-"""Targets that say in their answers that they leave, or want no work.
+"""Targets that report in response headers that they are leaving or paused.
 
-An engine was sent requests for seconds after its own answers had said that
-it was leaving, as the list that daemons read lagged and nobody read the
-answers; a full one was sent more, though it had named a time to come back.
-Replicas, sessions and forwarders are real, targets count what reached them.
+Guards against two failures. A leaving engine got requests for seconds after
+its own responses had announced it, because daemons used only the instance
+list, which lags. An engine at capacity got more requests during the pause
+that it had asked for. Replicas, sessions and forwarders are real; targets
+are fakes that record the requests that reach them.
 """
 
 import asyncio
@@ -26,15 +27,16 @@
 
 LEAVING = "leaving"
 PAUSE = "pause"
-# A pause is in force at once; what was on its way may still arrive.
-ON_ITS_WAY_S = 0.5
-MOST_IN_A_PAUSE = 2
+# Requests already in flight when a pause begins may still arrive for this
+# long.
+IN_FLIGHT_S = 0.5
+MAX_SENDS_IN_PAUSE = 2
 LIST_LAG_S = 3.0
-TOLD_S = 1.0
+PROPAGATION_S = 1.0
 
 
 class Arrival(typing.NamedTuple):
-    """A request that reached a target, and what it was told there."""
+    """A request that reached a target, and the state the target reported."""
 
     at: float
     entry: int
@@ -44,7 +46,7 @@
 
 
 class Exchange(fatal_world.Exchange):
-    """A request to a target that may say something of itself."""
+    """A request to a target that may report that it is leaving or paused."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
 
 
 class Http(fatal_world.Http):
-    """Sends to targets that may say something of themselves."""
+    """A client for targets that may report that they are leaving or paused."""
 
     def exchange(
         self, target: fatal_world.Target, expected: str, body: bytes
@@ -88,7 +90,7 @@
 
 
 class Dialect(fatal_world.Dialect):
-    """Reads what targets say of themselves."""
+    """Reads the leaving and pause headers of responses."""
 
     def read(self, request, head) -> routing.Reading:
         absent = head.status == 421
@@ -103,7 +105,7 @@
 
 
 class LaggingList(targets.InstanceList):
-    """Shows targets as they were some seconds ago; who leaves is ready."""
+    """Lists targets as of LIST_LAG_S ago; leaving ones are listed as live."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
@@ -119,7 +121,7 @@
 
 
 class World(fatal_world.World):
-    """Entries before targets that say something of themselves."""
+    """Entries with targets that may report that they are leaving or paused."""
 
     def __init__(
         self, entries: int = 6, count: int = 3, seed: int = 1
@@ -134,10 +136,10 @@
     def make_http(self, entry: int) -> Http:
         return Http(self, entry)
 
-    async def load(
+    async def send_requests(
         self, for_s: float, gap_s: float, at: int | None = None
     ) -> list[str]:
-        """Ask at even distances; return how each ended."""
+        """Send requests at a fixed interval; return the outcome of each."""
         asking = []
         loop = asyncio.get_running_loop()
         until = loop.time() + for_s
@@ -146,11 +148,12 @@
             await asyncio.sleep(gap_s)
         return await asyncio.gather(*asking)
 
-    def after_leaving(self, allowed_s: float = 0.0) -> list[str]:
-        """Say which entries sent to a target that had told them it leaves.
+    def sends_after_leaving(self, allowed_s: float = 0.0) -> list[str]:
+        """List entries that sent to a target known to them to be leaving.
 
         Args:
-            allowed_s: others may send so long after the first was told.
+            allowed_s: how long after the first entry learned of it the
+                other entries may still send; 0 skips that check.
         """
         told: dict[tuple[int, str], float] = {}
         first: dict[str, float] = {}
@@ -161,15 +164,19 @@
             key = (arrival.entry, arrival.target)
             heard = told.setdefault(key, arrival.at)
             first_at = first.setdefault(arrival.target, arrival.at)
-            # What was on its way at that moment may arrive.
+            # Requests in flight at that moment may still arrive.
             if arrival.at > heard + fatal_world.RUN_S:
-                faults.add(f"entry {arrival.entry} went on sending")
+                faults.add(
+                    f"entry {arrival.entry} kept sending to a leaving target"
+                )
             if allowed_s and arrival.at > first_at + allowed_s:
-                faults.add(f"entry {arrival.entry} was not told")
+                faults.add(
+                    f"entry {arrival.entry} did not learn that it is leaving"
+                )
         return sorted(faults)
 
-    def in_pauses(self) -> list[str]:
-        """Say which entries sent to a target that wanted none from them."""
+    def sends_in_pauses(self) -> list[str]:
+        """List entries that sent to a target during its pause for them."""
         by_pair: dict[tuple[int, str], list[Arrival]] = (
             collections.defaultdict(list)
         )
@@ -181,110 +188,118 @@
                 late = [
                     a
                     for a in arrivals
-                    if told.at + ON_ITS_WAY_S < a.at < told.at + told.pause_s
+                    if told.at + IN_FLIGHT_S < a.at < told.at + told.pause_s
                 ]
-                if len(late) > MOST_IN_A_PAUSE:
+                if len(late) > MAX_SENDS_IN_PAUSE:
                     faults.append(
-                        f"entry {entry} sent {len(late)} to {target}"
+                        f"entry {entry} sent {len(late)} requests to"
+                        f" paused target {target}"
                     )
         return faults[:3]
 
 
 async def leaving_ahead_of_the_list() -> list[str]:
-    """All stop soon after one was told, though the list shows it ready."""
+    """All entries stop sending once one learns of it, ahead of the list."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
-        ended = await world.load(LIST_LAG_S + 2.0, 0.02)
-        faults = world.after_leaving(TOLD_S)
+        ended = await world.send_requests(LIST_LAG_S + 2.0, 0.02)
+        faults = world.sends_after_leaving(PROPAGATION_S)
         return faults + _unserved(ended, 0)
 
 
 async def leaving_while_cut_off() -> list[str]:
-    """Who hears it keeps to it, though it reaches no leader."""
+    """An entry cut off from the leader still obeys what it was told."""
     async with World() as world:
         world.network.isolate(world.entries[0].session.daemon.address)
         await asyncio.sleep(3.0)
         world.leaving.add(world.targets[0].id)
-        ended = await world.load(3.0, 0.05, at=0)
-        return world.after_leaving() + _unserved(ended, 0)
+        ended = await world.send_requests(3.0, 0.05, at=0)
+        return world.sends_after_leaving() + _unserved(ended, 0)
 
 
 async def leaving_over_a_leader() -> list[str]:
-    """The next leader is told again."""
+    """Entries report a leaving target again to a new leader."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
-        await world.load(2.0, 0.05)
+        await world.send_requests(2.0, 0.05)
         leader = await world.leader()
         await world.stop(
             next(a for a, n in world.node_by_address.items() if n is leader)
         )
-        ended = await world.load(6.0, 0.05)
+        ended = await world.send_requests(6.0, 0.05)
         infos = world.entries[1].session.digest.target_by_id
         info = infos[world.targets[0].id]
-        faults = [] if info.leaving else ["the next leader does not know it"]
-        return faults + world.after_leaving() + _unserved(ended, 0)
+        faults = (
+            []
+            if info.leaving
+            else ["the new leader does not know that the target is leaving"]
+        )
+        return faults + world.sends_after_leaving() + _unserved(ended, 0)
 
 
 async def next_start_takes_work() -> list[str]:
-    """What one start said counts for none that follows."""
+    """The leaving state of one incarnation does not apply to the next."""
     async with World(count=2) as world:
         target = world.targets[0]
         target.keeps_name = True
         await asyncio.sleep(LIST_LAG_S + 1.0)
         world.leaving.add(target.id)
-        await world.load(2.0, 0.05)
+        await world.send_requests(2.0, 0.05)
         target.end()
         await asyncio.sleep(LIST_LAG_S + 4.0)
-        ended = await world.load(2.0, 0.05)
+        ended = await world.send_requests(2.0, 0.05)
         again = [a for a in world.reached if a.target == target.id]
-        faults = [] if again else ["the next start got nothing"]
-        return faults + world.after_leaving() + _unserved(ended, 0)
+        faults = [] if again else ["the next incarnation got no requests"]
+        return faults + world.sends_after_leaving() + _unserved(ended, 0)
 
 
 async def paused() -> list[str]:
-    """A target that wants no work for a while gets none, then some."""
+    """A paused target gets no requests until its pause ends, then some."""
     async with World(entries=2, count=2) as world:
         target = world.targets[0].id
         world.pause_by_target[target] = 8.0
         loop = asyncio.get_running_loop()
-        ended = await world.load(9.0, 0.01)
+        ended = await world.send_requests(9.0, 0.01)
         del world.pause_by_target[target]
         well_at = loop.time()
-        ended += await world.load(10.0, 0.01)
+        ended += await world.send_requests(10.0, 0.01)
         back = [
             a
             for a in world.reached
             if a.target == target and a.at > well_at + 8.1
         ]
-        faults = [] if back else ["it got nothing after its pause"]
-        return faults + world.in_pauses() + _unserved(ended, 0)
+        faults = [] if back else ["the target got no requests after its pause"]
+        return faults + world.sends_in_pauses() + _unserved(ended, 0)
 
 
 async def paused_by_forty() -> list[str]:
-    """One target that pauses each of forty daemons gets little from each."""
+    """A target that pauses forty daemons gets few requests from each."""
     async with World(entries=40, count=4) as world:
         world.pause_by_target[world.targets[0].id] = 2.0
-        ended = await world.load(5.0, 0.01)
-        return world.in_pauses() + _unserved(ended, 0)
+        ended = await world.send_requests(5.0, 0.01)
+        return world.sends_in_pauses() + _unserved(ended, 0)
 
 
 async def all_paused() -> list[str]:
-    """Who can wait for the end of a pause is served after it."""
+    """Requests whose deadline is after the end of the pause are served."""
     async with World() as world:
         for target in world.targets:
             world.pause_by_target[target.id] = 1.0
-        await world.load(0.5, 0.02)
+        await world.send_requests(0.5, 0.02)
         world.pause_by_target.clear()
-        ended = await world.load(2.0, 0.05)
-        return world.in_pauses() + _unserved(ended, 0)
+        ended = await world.send_requests(2.0, 0.05)
+        return world.sends_in_pauses() + _unserved(ended, 0)
 
 
 async def all_paused_for_long() -> list[str]:
-    """Who surely can't be served is refused at once, with the time left."""
+    """A request whose deadline is within the pause is refused at once.
+
+    The error's retry_after_s is the time that is left of the pause.
+    """
     async with World(entries=1) as world:
         for target in world.targets:
             world.pause_by_target[target.id] = 60.0
-        await world.load(0.5, 0.1)
+        await world.send_requests(0.5, 0.1)
         entry = world.entries[0]
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -306,30 +321,32 @@
             error = refused
         faults = []
         if loop.time() - started_at > 0.1:
-            faults.append("it waited for nothing")
+            faults.append(
+                "the request waited instead of being refused at once"
+            )
         left_s = error.retry_after_s if error is not None else None
         if left_s is None or not 50.0 < left_s <= 60.0:
-            faults.append(f"it was told to come back after {left_s}")
-        return faults + world.in_pauses()
+            faults.append(f"retry_after_s is {left_s}")
+        return faults + world.sends_in_pauses()
 
 
 async def paused_in_an_election() -> list[str]:
-    """A pause needs no leader."""
+    """Pauses are obeyed while there is no leader."""
     async with World() as world:
         for address in world.addresses[:2]:
             await world.stop(address)
         world.pause_by_target[world.targets[0].id] = 2.0
-        ended = await world.load(5.0, 0.02)
-        return world.in_pauses() + _unserved(ended, 0)
+        ended = await world.send_requests(5.0, 0.02)
+        return world.sends_in_pauses() + _unserved(ended, 0)
 
 
-class _Granting:
-    """Places at two engines; who grants them knows of no pause."""
+class _FakePlacer:
+    """Grants places at engines in list order, unaware of pauses."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.given: list[str] = []
-        self.back: list[placement.UseOutcome] = []
+        self.granted: list[str] = []
+        self.released_with: list[placement.UseOutcome] = []
         self.wait_s = 0.0
 
     async def take(
@@ -339,31 +356,39 @@
             if target.id in asked.avoid:
                 continue
             await asyncio.sleep(self.wait_s)
-            self.given.append(target.id)
+            self.granted.append(target.id)
             return placement.PlaceReply(
                 target.id, target.address, None, 0.0, "test"
             )
-        raise wire.OverloadError("There is no other.", retry_after_s=1.0)
+        raise wire.OverloadError(
+            "No other engine is available.", retry_after_s=1.0
+        )
 
     def give_back(
         self, request: str, target: str, outcome: placement.UseOutcome
     ) -> None:
-        self.back.append(outcome)
+        self.released_with.append(outcome)
 
     def begun(self, request: str, target: str, first_s: float) -> None:
         return None
 
 
-async def _granted(
-    say: collections.abc.Callable[[control.TargetNotices, str, float], None],
+async def _run_while_placing(
+    notify: collections.abc.Callable[
+        [control.TargetNotices, str, float], None
+    ],
     wait_s: float = 0.0,
-) -> tuple[list[str], _Granting, float]:
-    """Ask for an engine that says something while a place is waited for."""
+) -> tuple[list[str], _FakePlacer, float]:
+    """Send a request; call *notify* while it waits for a place.
+
+    Returns:
+        The targets reached, the fake placer, and the time taken in seconds.
+    """
     async with World(entries=1) as world:
         entry, loop = world.entries[0], asyncio.get_running_loop()
-        granting = _Granting(world)
-        granting.wait_s = wait_s
-        entry.forwarder._places = granting
+        placer = _FakePlacer(world)
+        placer.wait_s = wait_s
+        entry.forwarder._places = placer
         pool = catalogue.RoutePool(
             fatal_world.POOL,
             "/h",
@@ -384,53 +409,56 @@
             entry.forwarder.serve(request, fatal_world._Answer())
         )
         await asyncio.sleep(wait_s / 2)
-        say(entry.session.heard, world.targets[0].id, loop.time())
+        notify(entry.session.heard, world.targets[0].id, loop.time())
         await asking
         reached = [arrival.target for arrival in world.reached]
-        return reached, granting, loop.time() - started_at
+        return reached, placer, loop.time() - started_at
 
 
 async def leaving_while_a_place_is_waited_for() -> list[str]:
-    """A place that was granted before is given back, and another used."""
-    reached, granting, _ = await _granted(
+    """A place granted at a target that is leaving is released unused.
+
+    The request then runs at another target.
+    """
+    reached, placer, _ = await _run_while_placing(
         lambda heard, target, now: heard.note_leaving(target), 0.4
     )
     faults = []
-    if len(granting.given) != 2 or reached != [granting.given[1]]:
-        faults.append(f"given {granting.given}, used {reached}")
-    if granting.back[0] is not placement.UseOutcome.LEFT:
-        faults.append(f"given back as {granting.back}")
+    if len(placer.granted) != 2 or reached != [placer.granted[1]]:
+        faults.append(f"granted {placer.granted}, reached {reached}")
+    if placer.released_with[0] is not placement.UseOutcome.LEFT:
+        faults.append(f"released with {placer.released_with}")
     return faults
 
 
 async def short_pause_is_waited_out() -> list[str]:
-    """For a short pause no adapter is loaded elsewhere."""
-    reached, granting, took_s = await _granted(
+    """A short pause is waited out rather than loading elsewhere."""
+    reached, placer, took_s = await _run_while_placing(
         lambda heard, target, now: heard.pauses(target, 0.4, now), 0.1
     )
     faults = []
-    if set(granting.given) != {granting.given[0]}:
-        faults.append(f"it went elsewhere: {granting.given}")
+    if set(placer.granted) != {placer.granted[0]}:
+        faults.append(f"other engines were granted: {placer.granted}")
     if not 0.4 < took_s < 1.2 or len(reached) != 1:
-        faults.append(f"it took {took_s:.2f} s, {len(reached)} sends")
+        faults.append(f"took {took_s:.2f} s, {len(reached)} sends")
     return faults
 
 
 async def long_pause_is_avoided() -> list[str]:
-    """For a long pause another engine is asked for."""
-    reached, granting, took_s = await _granted(
+    """For a long pause a place at another engine is requested."""
+    reached, placer, took_s = await _run_while_placing(
         lambda heard, target, now: heard.pauses(target, 5.0, now), 0.1
     )
-    if reached != [granting.given[-1]] or took_s > 1.0:
-        return [f"given {granting.given}, used {reached}, {took_s:.2f} s"]
+    if reached != [placer.granted[-1]] or took_s > 1.0:
+        return [f"granted {placer.granted}, reached {reached}, {took_s:.2f} s"]
     return []
 
 
 async def random_words(seed: int) -> list[str]:
-    """Targets say what they like, at any moment, to any daemon."""
+    """Targets leave, pause, resume and restart at random times."""
     rng = random.Random(seed)
     async with World(seed=seed) as world:
-        asking = asyncio.create_task(world.load(12.0, 0.03))
+        asking = asyncio.create_task(world.send_requests(12.0, 0.03))
         for _ in range(12):
             await asyncio.sleep(rng.uniform(0.2, 1.2))
             target = rng.choice(world.targets)
@@ -445,11 +473,11 @@
                 target.end()
         world.pause_by_target.clear()
         await asking
-        return world.after_leaving() + world.in_pauses()
+        return world.sends_after_leaving() + world.sends_in_pauses()
 
 
 async def some_random_words() -> list[str]:
-    """Some of them."""
+    """Run random_words with six seeds."""
     faults: list[str] = []
     for seed in range(6):
         faults += [f"{seed}: {f}" for f in await random_words(seed)]
@@ -482,17 +510,18 @@
 
 
 def run_scenario(name: str) -> list[str]:
-    """Run a scenario; a crash counts as a finding."""
+    """Run a scenario; an exception counts as a fault."""
     try:
         return ledger.run(SCENARIOS[name]())
     except Exception as error:
         return [f"crash: {error!r}"]
 
 
-# Guards, each switched off where its scenario must notice.
+# Each mutant: name, the scenario that must fail, object, attribute and
+# replacement.
 
 TargetNotices = control.TargetNotices
-GUARDS: tuple[tuple[str, str, object, str, object], ...] = (
+MUTANTS: tuple[tuple[str, str, object, str, object], ...] = (
     (
         "leaving",
         "leaving_while_cut_off",
@@ -533,8 +562,8 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run a scenario with one guard off."""
-    _, scenario, owner, name, off = GUARDS[number]
+    """Run a mutant's scenario with its guard disabled."""
+    _, scenario, owner, name, off = MUTANTS[number]
     with contextlib.ExitStack() as stack:
         stack.enter_context(unittest.mock.patch.object(owner, name, off))
         return run_scenario(scenario)
