--- a/features/support/fatal.py
+++ b/features/support/fatal.py
@@ -24,14 +24,14 @@
 MAX_CRASHES = 4
 REPEATS = 8
 
-World = world_lib.World
+SimulatedCluster = world_lib.SimulatedCluster
 
 
-def _settings(seed: int) -> world_lib.WorldSettings:
-    return world_lib.WorldSettings(seed=seed)
+def _settings(seed: int) -> world_lib.ClusterSettings:
+    return world_lib.ClusterSettings(seed=seed)
 
 
-async def _ask(world: World, number: int, prompt: str) -> str:
+async def _ask(world: SimulatedCluster, number: int, prompt: str) -> str:
     """Send one completion; return its error code, or "served"."""
     at = world.place(number % 5)
     request = routing.Completion(
@@ -75,7 +75,7 @@
         standins.EngineStandIn, "_find_or_start", _crashing(ended)
     )
     with crashing:
-        async with World(_settings(seed)) as world:
+        async with SimulatedCluster(_settings(seed)) as world:
             got = []
             for number in range(REPEATS):
                 got.append(await _ask(world, number, FATAL))
@@ -110,7 +110,7 @@
         standins.ServiceStandIn, "call", call_or_crash
     )
     with crashing:
-        async with World(_settings(seed)) as world:
+        async with SimulatedCluster(_settings(seed)) as world:
             got = []
             for number in range(REPEATS):
                 got.append(await _call(world, number, FATAL.encode()))
@@ -127,7 +127,7 @@
     return faults
 
 
-async def _call(world: World, number: int, body: bytes) -> str:
+async def _call(world: SimulatedCluster, number: int, body: bytes) -> str:
     key = f"{int(world.wall_s())}-{number}"
     call = routing.ServiceCall(
         f"fatal-{number}",
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -74,7 +74,7 @@
 class History:
     """Runs the commands of a history on a simulated cluster."""
 
-    def __init__(self, world: world_lib.World) -> None:
+    def __init__(self, world: world_lib.SimulatedCluster) -> None:
         self._world = world
         self._tasks: list[asyncio.Task] = []
         self._booked = 0
@@ -211,8 +211,11 @@
 
 
 async def _run_history(history: list[Command], seed: int) -> list[str]:
-    settings = world_lib.WorldSettings(seed=seed)
-    async with asyncio.timeout(600), world_lib.World(settings) as world:
+    settings = world_lib.ClusterSettings(seed=seed)
+    async with (
+        asyncio.timeout(600),
+        world_lib.SimulatedCluster(settings) as world,
+    ):
         return await History(world).run(history)
 
 
--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -17,7 +17,7 @@
 DURING_DELAY_S = 0.004
 MAX_VIRTUAL_S = 400
 
-World = world_lib.World
+SimulatedCluster = world_lib.SimulatedCluster
 EntryInstance = world_lib.EntryInstance
 
 Fault = collections.abc.Callable[
@@ -31,7 +31,7 @@
 MOMENTS = (BEFORE, DURING, AFTER)
 
 
-async def _run_later(world: World, delay_s: float, work) -> None:
+async def _run_later(world: SimulatedCluster, delay_s: float, work) -> None:
     """Run work after a delay, in a background task."""
 
     async def run_delayed() -> None:
@@ -81,7 +81,7 @@
 
 
 async def _wait_other_replicas_vote(
-    world: World, place: EntryInstance
+    world: SimulatedCluster, place: EntryInstance
 ) -> None:
     """Wait until all other replicas vote, for 20 s at the most.
 
@@ -157,7 +157,7 @@
     await _run_later(world, 5.0, make_network_healer(world))
 
 
-def make_network_healer(world: World):
+def make_network_healer(world: SimulatedCluster):
     """Return a coroutine function that ends all network faults."""
 
     async def heal() -> None:
@@ -367,7 +367,7 @@
     ]
 
 
-def schedule_fault(world: World, case: Case) -> None:
+def schedule_fault(world: SimulatedCluster, case: Case) -> None:
     """Schedule the fault for the next time that its step is reached."""
     fault = FAULT_BY_NAME[case.fault]
     step = wire.Step(case.step)
@@ -396,7 +396,7 @@
 )
 
 
-async def _run_load(world: World) -> None:
+async def _run_load(world: SimulatedCluster) -> None:
     """Run calls, edits and scheduled events for LOAD_DURATION_S seconds."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -423,14 +423,16 @@
     await asyncio.gather(*tasks)
 
 
-async def _edit(world: World, number: int, at: EntryInstance) -> None:
+async def _edit(
+    world: SimulatedCluster, number: int, at: EntryInstance
+) -> None:
     adapter = number % world.settings.adapters
     owner = world_lib.MEMBERS[adapter % 2]
     value = world_lib.adapter_value(owner, ("v1", "v2", f"w{number}"))
     await world.put("adapter", f"adapter-{adapter}", value, at)
 
 
-async def _cause_rare_steps(world: World) -> None:
+async def _cause_rare_steps(world: SimulatedCluster) -> None:
     """Cause the rare steps: an election, a blank disk and a stop."""
     await asyncio.sleep(1.0)
     leader = world.leader()
@@ -453,7 +455,7 @@
         await stop_and_start(owners[-1])
 
 
-def other_replicas_vote(world: World, blank: EntryInstance) -> bool:
+def other_replicas_vote(world: SimulatedCluster, blank: EntryInstance) -> bool:
     """Whether all other replicas vote, so that this disk may be lost."""
     return all(
         place.up
@@ -483,7 +485,7 @@
         await world.restart(place)
 
 
-async def check_recovery(world: World) -> None:
+async def check_recovery(world: SimulatedCluster) -> None:
     """End all faults, then check that a change and requests succeed."""
     await world.heal()
     await asyncio.sleep(2.0)
@@ -507,10 +509,12 @@
 async def run_case(case: Case, seed: int = 1) -> CaseResult:
     """Run one case in virtual time."""
     started = time.perf_counter()
-    settings = world_lib.WorldSettings(seed=seed, checks_fencing=seed % 2 == 0)
+    settings = world_lib.ClusterSettings(
+        seed=seed, checks_fencing=seed % 2 == 0
+    )
     async with (
         asyncio.timeout(MAX_VIRTUAL_S),
-        World(settings) as world,
+        SimulatedCluster(settings) as world,
     ):
         schedule_fault(world, case)
         await _run_load(world)
--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -91,7 +91,7 @@
 class Oracle:
     """Records answers and changes and collects violated guarantees."""
 
-    def __init__(self, world: "world_lib.World") -> None:
+    def __init__(self, world: "world_lib.SimulatedCluster") -> None:
         self.world = world
         self.faults: list[str] = []
         self.answers: list[Answer] = []
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -24,13 +24,13 @@
 from bergamotsail import wire
 from features.support import world as world_lib
 
-World = world_lib.World
-Settings = world_lib.WorldSettings
+SimulatedCluster = world_lib.SimulatedCluster
+Settings = world_lib.ClusterSettings
 patch = unittest.mock.patch.object
 
 
 async def _send(
-    world: World, count: int, pause_s: float, **kwargs: typing.Any
+    world: SimulatedCluster, count: int, pause_s: float, **kwargs: typing.Any
 ) -> list:
     """Send model requests at a fixed interval and return their answers."""
     tasks = []
@@ -63,7 +63,7 @@
     engine = standins.EngineSettings(
         3, 4, 0.02, checks_incarnation=False, sloppy=True
     )
-    async with World(Settings(seed=seed, engine=engine)) as world:
+    async with SimulatedCluster(Settings(seed=seed, engine=engine)) as world:
         sending = asyncio.create_task(_send(world, 60, 0.1))
         for number in range(12):
             await asyncio.sleep(0.5)
@@ -74,7 +74,7 @@
 
 async def withdrawn_version(seed: int = 1) -> list[str]:
     """A version is withdrawn while requests for it wait for a load."""
-    async with World(Settings(seed=seed, load_s=2.0)) as world:
+    async with SimulatedCluster(Settings(seed=seed, load_s=2.0)) as world:
         waiting = [
             asyncio.create_task(
                 world.complete(0, world.place(n), version="v2")
@@ -100,7 +100,7 @@
     settings = Settings(
         seed=seed, engine=engine, load_s=0.05, daemon=daemon, adapters=10
     )
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         sending = asyncio.create_task(_send(world, 120, 0.05, tokens=25))
         await asyncio.sleep(1.0)
         owners = [p for p in world.places if p.daemon.owners.by_target]
@@ -119,7 +119,7 @@
     settings = Settings(
         seed=seed, engine=engine, load_s=0.05, daemon=daemon, adapters=10
     )
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         long_runs = [
             asyncio.create_task(world.complete(n, world.place(n), 200))
             for n in range(3)
@@ -138,7 +138,7 @@
 
 async def own_whole_answer(seed: int = 1) -> list[str]:
     """Chunks are duplicated, mixed between streams, or lost."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         await _send(world, 10, 0.1)
         for links in world.links.values():
             for link in links:
@@ -146,14 +146,14 @@
         await _send(world, 20, 0.1)
         for links in world.links.values():
             for link in links:
-                link.gappy = True
+                link.lose_chunks = True
         await _send(world, 20, 0.1, deadline_s=5.0)
         return world.oracle.check_at_end()
 
 
 async def not_run_means_it(seed: int = 1) -> list[str]:
     """Replies are lost after the run started, and deadlines are short."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         await _send(world, 10, 0.1)
         for links in world.links.values():
             for link in links:
@@ -170,7 +170,7 @@
 
 async def at_most_once(seed: int = 1) -> list[str]:
     """Callers resend after lost replies and killed entry instances."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         tasks = []
         for number in range(40):
             at = world.place(number % 5)
@@ -196,7 +196,7 @@
 async def expired_keys(seed: int = 1) -> list[str]:
     """A resend arrives after its idempotency claim has expired."""
     daemon = {"claim_retention_s": 10.0}
-    async with World(Settings(seed=seed, daemon=daemon)) as world:
+    async with SimulatedCluster(Settings(seed=seed, daemon=daemon)) as world:
         key = f"{int(world.wall_s())}-late"
         await world.book(1, world.place(1), key=key)
         await asyncio.sleep(60.0)
@@ -209,7 +209,7 @@
 
 async def leaving_target(seed: int = 1) -> list[str]:
     """A target is leaving; the instance list reports it late."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         sending = asyncio.create_task(_send(world, 120, 0.1))
         await asyncio.sleep(2.0)
         world.leaving.add("runner-0")
@@ -222,7 +222,7 @@
 
 async def leaving_unlisted(seed: int = 1) -> list[str]:
     """A target is leaving while the instance list is unreachable."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         world.list_link.cut = True
         sending = asyncio.create_task(_send(world, 120, 0.1))
         await asyncio.sleep(2.0)
@@ -236,7 +236,7 @@
 async def planned_stop(seed: int = 1) -> list[str]:
     """Two daemons stop together under load, one of them the leader."""
     settings = Settings(seed=seed)
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         stopping = [world.leader(), world.place(4)]
         tasks = []
         stops = []
@@ -263,14 +263,16 @@
         return faults + _error_violations("planned_stop", answers)
 
 
-async def _stop(world: World, place: world_lib.EntryInstance) -> None:
+async def _stop(
+    world: SimulatedCluster, place: world_lib.EntryInstance
+) -> None:
     await place.daemon.stop()
     await world.kill(place)
 
 
 async def changes_survive_power_loss(seed: int = 1) -> list[str]:
     """All replicas lose power at once, right after acknowledging a write."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         for number in range(5):
             value = world_lib.adapter_value("tahi", ("v1", f"n{number}"))
             await world.put("adapter", f"new-{number}", value)
@@ -291,7 +293,7 @@
     The first partition isolates one entry instance; the second isolates
     the leader together with an entry instance.
     """
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         world.network.isolate(world.place(4).address)
         await world.put("adapter", "new-1", world_lib.adapter_value("tahi"))
         await asyncio.sleep(15.0)
@@ -319,7 +321,7 @@
 
     They also resend a change under its operation id.
     """
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         faults = []
         for number in range(10):
             view = world.place(0).daemon.session.view
@@ -374,7 +376,7 @@
         daemon=daemon,
         load_s=0.05,
     )
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         sending = asyncio.create_task(_send(world, 150, 0.1, deadline_s=15.0))
         for number in range(2):
             await asyncio.sleep(0.5)
@@ -393,7 +395,7 @@
 
 async def moving_targets(seed: int = 1) -> list[str]:
     """Targets change owner repeatedly; no caller is refused."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         sending = asyncio.create_task(_send(world, 100, 0.1))
         for _ in range(4):
             await asyncio.sleep(2.0)
@@ -408,7 +410,7 @@
 async def moving_leader(seed: int = 1) -> list[str]:
     """Leadership is transferred repeatedly; no caller is refused."""
     daemon = {"list_interval_s": 2.0}
-    async with World(Settings(seed=seed, daemon=daemon)) as world:
+    async with SimulatedCluster(Settings(seed=seed, daemon=daemon)) as world:
         sending = asyncio.create_task(_send(world, 120, 0.1))
         for _ in range(4):
             await asyncio.sleep(2.5)
@@ -437,7 +439,7 @@
                 task.cancel()
 
     with patch(placement.EngineOwner, "_dispatch", dispatch):
-        async with World(Settings(seed=seed)) as world:
+        async with SimulatedCluster(Settings(seed=seed)) as world:
             leaving.set()
             tasks = [
                 asyncio.create_task(
@@ -462,7 +464,7 @@
 
 async def cut_off_owner(seed: int = 1) -> list[str]:
     """Owners are partitioned from all daemons but reach their engines."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         sending = asyncio.create_task(_send(world, 120, 0.1, deadline_s=15.0))
         for number in range(2):
             await asyncio.sleep(0.5)
@@ -482,7 +484,7 @@
     still reaches.
     """
     settings = Settings(seed=seed, member_concurrency=6)
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         sending = asyncio.create_task(
             _send(world, 120, 0.1, tokens=200, deadline_s=15.0)
         )
@@ -503,7 +505,7 @@
     expired, while its runs still went on.
     """
     settings = Settings(seed=seed, member_concurrency=6)
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         sending = asyncio.create_task(
             _send(world, 100, 0.1, tokens=300, deadline_s=15.0)
         )
@@ -543,7 +545,7 @@
     The refusal tells the caller to use another daemon.
     """
     settings = Settings(seed=seed, member_concurrency=1)
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         place = world.place(3)
         running = asyncio.create_task(world.complete(0, place, tokens=250))
         await asyncio.sleep(1.0)
@@ -575,7 +577,7 @@
     """
     lease = {"lease_s": 1.5, "heartbeat_s": 0.2, "order_flight_s": 0.2}
     settings = Settings(seed=seed, daemon={"lease": lease})
-    world = World(settings)
+    world = SimulatedCluster(settings)
     watching = asyncio.create_task(_lost_leases(world, 5.0))
     async with world:
         lapsed = await watching
@@ -585,7 +587,7 @@
         return faults + world.oracle.check_at_end()
 
 
-async def _lost_leases(world: World, watched_s: float) -> set[str]:
+async def _lost_leases(world: SimulatedCluster, watched_s: float) -> set[str]:
     """Return the names of the daemons that held a lease and lost it."""
     loop = asyncio.get_running_loop()
     held: set[str] = set()
@@ -609,7 +611,7 @@
     At least 20 of the 60 requests must be answered.
     """
     settings = Settings(seed=seed, member_concurrency=3)
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         answers = await _send(world, 60, 0.05, tokens=10)
         faults = world.oracle.check_at_end()
         done = sum(answer.error is None for answer in answers)
@@ -625,7 +627,7 @@
     from its predecessor has reported would grant part of the limit twice.
     """
     settings = Settings(seed=seed, member_concurrency=6)
-    async with World(settings) as world:
+    async with SimulatedCluster(settings) as world:
         sending = asyncio.create_task(
             _send(world, 160, 0.05, tokens=40, deadline_s=6.0)
         )
@@ -651,7 +653,7 @@
 
 async def rate_over_all(seed: int = 1) -> list[str]:
     """A rate limit of 5 requests/s holds across all daemons."""
-    async with World(Settings(seed=seed)) as world:
+    async with SimulatedCluster(Settings(seed=seed)) as world:
         value = {
             "token_sha256": catalogue.hash_token("tahi-token"),
             "limits": {"rate": 5.0},
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WorldSettings:
+class ClusterSettings:
     """Sizes and settings of a simulated cluster.
 
     Args:
@@ -82,7 +82,7 @@
 class EntryInstance:
     """An entry instance: its address, its disk and its daemon process."""
 
-    def __init__(self, world: "World", number: int) -> None:
+    def __init__(self, world: "SimulatedCluster", number: int) -> None:
         self.world = world
         self.number = number
         self.name = f"entry-{number}"
@@ -117,10 +117,10 @@
         return list(self.link_by_address.values())
 
 
-class World:
+class SimulatedCluster:
     """A cluster of daemons, fakes and an oracle; an async context manager."""
 
-    def __init__(self, settings: WorldSettings = WorldSettings()) -> None:
+    def __init__(self, settings: ClusterSettings = ClusterSettings()) -> None:
         self.settings = settings
         self.rng = random.Random(settings.seed)
         self.network = standins.MemoryNetwork(self.rng)
@@ -144,7 +144,7 @@
         self._operations = 0
         self._requests = 0
 
-    async def __aenter__(self) -> "World":
+    async def __aenter__(self) -> "SimulatedCluster":
         for number in range(self.settings.engines):
             engine = standins.EngineStandIn(self.settings.engine, self.store)
             await self._stack.enter_async_context(engine)
--- a/libs/standins/src/bergamotsail/standins/_memory.py
+++ b/libs/standins/src/bergamotsail/standins/_memory.py
@@ -33,7 +33,7 @@
         self.lose_replies = False
         self.delay_s = 0.0005
         self.crossed = False
-        self.gappy = False
+        self.lose_chunks = False
         self.held = asyncio.Event()
         self.held.set()
 
@@ -108,7 +108,7 @@
         self, chunk: targets.Chunk
     ) -> collections.abc.Iterator[targets.Chunk]:
         """Yield the chunks that arrive for one that was sent."""
-        if self._link.gappy and chunk.number % 7 == 3:
+        if self._link.lose_chunks and chunk.number % 7 == 3:
             return
         yield chunk
         if self._link.crossed:
