--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -27,8 +27,8 @@
 RUN_S = 0.2
 CRASH_S = 0.1
 DOWN_S = 1.0
-# Users' bound: from this long after the third crash that a request caused,
-# it may reach targets three times more.
+# Required by users: later than REACTION_S after the third crash that a
+# request caused, it may reach targets at most three times more.
 REACTION_S = 3.0
 MAX_LATE_ARRIVALS = 3
 MAX_ENDS = 3
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -220,7 +220,7 @@
 
 
 async def former_daemons_count() -> list[str]:
-    """A session keeps the daemons that former leaders knew for a lease.
+    """For one lease a session keeps the daemons that former leaders knew.
 
     A new leader knows only the daemons that have contacted it. Here two are
     elected in a row, and the session must still count all 30 daemons.
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -98,7 +98,7 @@
 
 
 class Place:
-    """A replica with its address, its disk and, while up, its process."""
+    """The name, address and disk of a replica and, while up, its process."""
 
     def __init__(self, number: int, rng: random.Random) -> None:
         self.name = f"replica-{number}"
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -1,7 +1,7 @@
 """Engines that restart under the same name.
 
 The placer and the fleet, which remembers the listed targets, are production
-code; the engines are the fake ones of the tests of the ledger. All run in
+code; the engines are the fakes of ``features/support/ledger.py``. All run in
 virtual time.
 """
 
@@ -98,7 +98,10 @@
 
 
 async def _serves_anew(world: RestartHarness) -> list[str]:
-    """Return what the placer kept from before an engine's restart."""
+    """Return faults if the placer fails a request or keeps old state.
+
+    Old state is what the placer recorded before the engine's restart.
+    """
     (engine,) = world.engine_by_id.values()
     await world.request("a0", 0.05, RELOAD_S)
     if not world.served:
@@ -208,7 +211,7 @@
     """Random requests while engines restart under the same names.
 
     Args:
-        tells: whether the engines and the list give start times.
+        with_start_times: whether the engines and the list give start times.
     """
     rng = random.Random(seed)
     fault_rates = ledger.FaultRates(
--- a/libs/standins/src/bergamotsail/standins/_memory.py
+++ b/libs/standins/src/bergamotsail/standins/_memory.py
@@ -24,7 +24,7 @@
         delay_s: one-way latency in seconds.
         crossed: whether each chunk is duplicated and followed by a chunk
             of another stream.
-        gappy: whether one chunk in seven is lost.
+        lose_chunks: whether one chunk in seven is lost.
         held: cleared while the sender is frozen.
     """
 
