--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -103,10 +103,10 @@
 
 @behave.then("the request that waited for a load shows 0.30 s and 0.20 s")
 def stages(context) -> None:
-    journey = next(j for j in context.request_traces if j.request == "r1")
-    shown = (round(journey.wait_s, 3), round(journey.engine_s, 3))
-    assert shown == (0.3, 0.2), journey
-    assert journey.loaded and journey.new_tokens == 3000, journey
+    trace = next(j for j in context.request_traces if j.request == "r1")
+    shown = (round(trace.wait_s, 3), round(trace.engine_s, 3))
+    assert shown == (0.3, 0.2), trace
+    assert trace.loaded and trace.new_tokens == 3000, trace
 
 
 @behave.then("the tables show fetches, refused places and outcomes")
--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -266,10 +266,10 @@
         self.by_id[target].slot_by_name[(MODEL, adapter)] = slot
         self.by_id[target].remember_copy((MODEL, adapter))
 
-    def wish(
+    def demand(
         self, adapter: str, tokens: int = 3_000
     ) -> _place_policy.PlacementDemand:
-        """Return the placement wish of a request."""
+        """Return the placement demand of a request."""
         return _place_policy.PlacementDemand(
             POOL, (MODEL, adapter), tokens + 100, (), (), tokens, "a", 0.0
         )
@@ -279,7 +279,7 @@
     ) -> _decisions.Decision:
         """Decide for a request; add a run to the holding of its engine."""
         names = {(MODEL, name) for name in (adapter, *wanted)}
-        decision = self.decider.decide(self.wish(adapter), names, self.now)
+        decision = self.decider.decide(self.demand(adapter), names, self.now)
         if isinstance(decision, _decisions.Run):
             self._number += 1
             grant = _holding.Grant(
@@ -683,14 +683,14 @@
     server.serve(placement.RELEASE, answer, shed_after_s=0.3)
     server.serve(wire.Call("vote", dict, dict), answer)
     lag = daemon.LoopLag()
-    face = daemon.PeerEndpoint(server, "token", lag)
+    endpoint = daemon.PeerEndpoint(server, "token", lag)
     faults = []
     for late_s, refused in ((0.0, ()), (0.2, ("place",)), (0.5, None)):
         lag.now_s = late_s
         found = []
         for name in ("place", "release", "vote"):
             try:
-                face._check_lag(name)
+                endpoint._check_lag(name)
             except wire.LoadShedError:
                 found.append(name)
         wanted = ("place", "release") if refused is None else refused
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -23,7 +23,7 @@
 CALLS = 500
 
 
-class _RecordingWitness(quorum.ElectionObserver):
+class _RecordingObserver(quorum.ElectionObserver):
     """Records the events that one replica reports."""
 
     def __init__(self) -> None:
@@ -42,57 +42,57 @@
         ]
 
 
-async def _form_watched() -> (
-    tuple[growth.Replicas, dict[str, _RecordingWitness]]
+async def _form_observed_replicas() -> (
+    tuple[growth.Replicas, dict[str, _RecordingObserver]]
 ):
     replicas = growth.Replicas(3)
     await replicas.form()
     await asyncio.sleep(1.0)
-    witness_by_address = {}
+    observer_by_address = {}
     for address, node in replicas.node_by_address.items():
-        node.election_observer = witness_by_address[address] = (
-            _RecordingWitness()
+        node.election_observer = observer_by_address[address] = (
+            _RecordingObserver()
         )
-    return replicas, witness_by_address
+    return replicas, observer_by_address
 
 
-async def _lost_lead() -> list[str]:
-    replicas, witness_by_address = await _form_watched()
+async def _lost_leadership() -> list[str]:
+    replicas, observer_by_address = await _form_observed_replicas()
     old = await replicas.leader()
     replicas.network.isolate(old.member.address)
     await asyncio.sleep(3.0)
     new = await replicas.leader()
     faults = []
-    lost = witness_by_address[old.member.address].matching(
+    lost = observer_by_address[old.member.address].matching(
         "role", **{"is": "no longer leads"}
     )
     if len(lost) != 1 or not lost[0]["why"].startswith("no majority for 0."):
         faults.append(f"lost leadership: {lost}")
     elif min(lost[0]["answered_s"].values()) < 0.6:
         faults.append(f"time since answers: {lost}")
-    won = witness_by_address[new.member.address].matching("stand", end="won")
+    won = observer_by_address[new.member.address].matching("stand", end="won")
     if len(won) != 1 or "granted" not in won[0]["answers"].values():
         faults.append(f"won election: {won}")
     elif won[0]["heard_s"] < 0.6:
         faults.append(f"started an election too early: {won}")
-    if not witness_by_address[new.member.address].matching(
+    if not observer_by_address[new.member.address].matching(
         "role", **{"is": "leads"}
     ):
         faults.append("The new leader did not report its role.")
     third = (
-        set(witness_by_address) - {old.member.address, new.member.address}
+        set(observer_by_address) - {old.member.address, new.member.address}
     ).pop()
-    if not witness_by_address[third].matching("role", **{"is": "follows"}):
+    if not observer_by_address[third].matching("role", **{"is": "follows"}):
         faults.append("The follower did not report its role.")
-    if not witness_by_address[third].matching(
+    if not observer_by_address[third].matching(
         "ballot", pre=False, refused=None
     ):
         faults.append("The follower did not report its vote.")
     return faults
 
 
-async def _refused_stand() -> list[str]:
-    replicas, witness_by_address = await _form_watched()
+async def _refused_election() -> list[str]:
+    replicas, observer_by_address = await _form_observed_replicas()
     leader = await replicas.leader()
     node = next(
         node
@@ -102,7 +102,7 @@
     term = leader.term
     await node._run_election(False)
     faults = []
-    stands = witness_by_address[node.member.address].matching(
+    stands = observer_by_address[node.member.address].matching(
         "stand", end="pre-vote failed"
     )
     if len(stands) != 1:
@@ -110,7 +110,7 @@
     answers = stands[0]["answers"]
     if len(answers) != 2 or answers[leader.name] != "holds the lease":
         faults.append(f"vote answers: {answers}")
-    for address, one in witness_by_address.items():
+    for address, one in observer_by_address.items():
         ballots = one.matching("ballot", candidate=node.member.id, pre=True)
         if address != node.member.address and not ballots[0]["refused"]:
             faults.append(f"{address}: {ballots}")
@@ -171,12 +171,12 @@
     server.serve(call, dict, shed_after_s=0.1)
     lag = daemon.LoopLag()
     lag.now_s = 0.2
-    face = daemon.PeerEndpoint(server, "token", lag, metrics)
+    endpoint = daemon.PeerEndpoint(server, "token", lag, metrics)
     began_at = time.monotonic()
     with observe.EventLog("r1", written):
         for _ in range(CALLS):
             try:
-                face._check_lag(call.name)
+                endpoint._check_lag(call.name)
             except wire.LoadShedError:
                 continue
     most = 1 + (time.monotonic() - began_at)
@@ -267,7 +267,7 @@
         await asyncio.sleep(_vitals.WORK_LOG_INTERVAL_S + 0.5)
 
 
-def _work_told() -> list[str]:
+def _work_logged() -> list[str]:
     """Work is logged periodically and shown in the explain tables."""
     written = io.StringIO()
     with observe.EventLog("e1", written):
@@ -289,9 +289,9 @@
 
 SCENARIOS = {
     "steps_not_waits": _steps_not_waits,
-    "work_told": _work_told,
-    "lost_lead": lambda: ledger.run(_lost_lead()),
-    "refused_stand": lambda: ledger.run(_refused_stand()),
+    "work_told": _work_logged,
+    "lost_lead": lambda: ledger.run(_lost_leadership()),
+    "refused_stand": lambda: ledger.run(_refused_election()),
     "late_loop": _late_loop,
     "shed_calls": _shed_calls,
 }
--- a/libs/explain/src/bergamotsail/explain/__init__.py
+++ b/libs/explain/src/bergamotsail/explain/__init__.py
@@ -10,15 +10,15 @@
 """
 
 from bergamotsail.explain import _events
-from bergamotsail.explain import _journeys
 from bergamotsail.explain import _summary
+from bergamotsail.explain import _traces
 from bergamotsail import wire
 
 Event = _events.Event
 read_events = _events.read_events
 
-RequestTrace = _journeys.RequestTrace
-request_traces = _journeys.request_traces
+RequestTrace = _traces.RequestTrace
+request_traces = _traces.request_traces
 
 describe_request = _summary.describe_request
 summary = _summary.summary
--- a/libs/explain/src/bergamotsail/explain/_report.py
+++ b/libs/explain/src/bergamotsail/explain/_report.py
@@ -9,11 +9,11 @@
 from matplotlib import figure
 
 from bergamotsail.explain import _events
-from bergamotsail.explain import _journeys
 from bergamotsail.explain import _summary
+from bergamotsail.explain import _traces
 
 Event = _events.Event
-RequestTrace = _journeys.RequestTrace
+RequestTrace = _traces.RequestTrace
 BINS = 60
 WIDTH_IN = 9.0
 HEIGHT_IN = 3.2
@@ -42,17 +42,24 @@
 def _plots(
     request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[tuple[str, figure.Figure]]:
-    waits = [j.wait_s for j in request_traces if j.wait_s is not None]
-    engines = [j.engine_s for j in request_traces if j.engine_s is not None]
+    waits = [
+        trace.wait_s for trace in request_traces if trace.wait_s is not None
+    ]
+    engines = [
+        trace.engine_s
+        for trace in request_traces
+        if trace.engine_s is not None
+    ]
     yield "Wait for placement, seconds", _histogram(waits)
     yield "From send to first answer, seconds", _histogram(engines)
     estimated = [
-        j
-        for j in request_traces
-        if j.backlog_s is not None and j.engine_s is not None
+        trace
+        for trace in request_traces
+        if trace.backlog_s is not None and trace.engine_s is not None
     ]
     yield "Estimated backlog and time to first answer, seconds", _scatter(
-        [j.backlog_s for j in estimated], [j.engine_s for j in estimated]
+        [trace.backlog_s for trace in estimated],
+        [trace.engine_s for trace in estimated],
     )
 
 
--- a/libs/explain/src/bergamotsail/explain/_summary.py
+++ b/libs/explain/src/bergamotsail/explain/_summary.py
@@ -4,11 +4,11 @@
 import collections.abc
 
 from bergamotsail.explain import _events
-from bergamotsail.explain import _journeys
+from bergamotsail.explain import _traces
 from bergamotsail.explain import _work
 
 Event = _events.Event
-RequestTrace = _journeys.RequestTrace
+RequestTrace = _traces.RequestTrace
 PERCENTILES = (50, 75, 90, 95, 99)
 BACKLOG_BOUNDS_S = (0.02, 0.1, 0.2, 0.4, 0.8, float("inf"))
 # Loads from a copy take less time than this, fetches from the store more.
@@ -67,22 +67,28 @@
     for trace in request_traces:
         by_route[trace.route].append(trace)
     for route, own in sorted(by_route.items()):
-        waits = [j.wait_s for j in own if j.wait_s is not None]
-        engines = [j.engine_s for j in own if j.engine_s is not None]
-        firsts = [j.first_s for j in own if j.first_s is not None]
-        pauses = [j.longest_pause_s for j in own if j.longest_pause_s]
+        waits = [trace.wait_s for trace in own if trace.wait_s is not None]
+        engines = [
+            trace.engine_s for trace in own if trace.engine_s is not None
+        ]
+        firsts = [trace.first_s for trace in own if trace.first_s is not None]
+        pauses = [
+            trace.longest_pause_s for trace in own if trace.longest_pause_s
+        ]
         yield _row(f"{route} wait for placement", waits)
         yield _row(f"{route} at the target", engines)
         yield _row(f"{route} first answer", firsts)
         yield _row(f"{route} longest pause", pauses)
-        yield _row(f"{route} total", [j.took_s for j in own])
+        yield _row(f"{route} total", [trace.took_s for trace in own])
 
 
 def _outcomes(
     request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     yield "requests by route and outcome"
-    counts = collections.Counter((j.route, j.code) for j in request_traces)
+    counts = collections.Counter(
+        (trace.route, trace.code) for trace in request_traces
+    )
     for (route, code), count in sorted(counts.items()):
         yield f"{route:20}{code:20}{count:7}"
 
@@ -93,14 +99,18 @@
     """Compare the estimated backlog with the actual time at the target."""
     yield _header("time by estimated backlog, s")
     estimated = [
-        j
-        for j in request_traces
-        if j.backlog_s is not None and j.engine_s is not None and j.sends == 1
+        trace
+        for trace in request_traces
+        if trace.backlog_s is not None
+        and trace.engine_s is not None
+        and trace.sends == 1
     ]
     lower_s = 0.0
     for upper_s in BACKLOG_BOUNDS_S:
         times = [
-            j.engine_s for j in estimated if lower_s <= j.backlog_s < upper_s
+            trace.engine_s
+            for trace in estimated
+            if lower_s <= trace.backlog_s < upper_s
         ]
         yield _row(f"{lower_s:.2f} to {upper_s:.2f}", times)
         lower_s = upper_s
@@ -151,8 +161,10 @@
     yield _header("time by engine, s")
     busiest = sorted(by_target.items(), key=lambda item: -len(item[1]))
     for target, own in busiest[:MAX_ENGINE_ROWS]:
-        engines = [j.engine_s for j in own if j.engine_s is not None]
-        tokens = sum(j.new_tokens or 0 for j in own)
+        engines = [
+            trace.engine_s for trace in own if trace.engine_s is not None
+        ]
+        tokens = sum(trace.new_tokens or 0 for trace in own)
         yield f"{_row(target, engines)}  {tokens} tokens"
 
 
