--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -261,12 +261,12 @@
         loop = asyncio.get_running_loop()
         ended = await world.send_requests(9.0, 0.01)
         del world.pause_by_target[target]
-        well_at = loop.time()
+        ended_at = loop.time()
         ended += await world.send_requests(10.0, 0.01)
         back = [
             a
             for a in world.reached
-            if a.target == target and a.at > well_at + 8.1
+            if a.target == target and a.at > ended_at + 8.1
         ]
         faults = [] if back else ["the target got no requests after its pause"]
         return faults + world.sends_in_pauses() + _unserved(ended, 0)
@@ -454,7 +454,7 @@
     return []
 
 
-async def random_words(seed: int) -> list[str]:
+async def random_target_events(seed: int) -> list[str]:
     """Targets leave, pause, resume and restart at random times."""
     rng = random.Random(seed)
     async with World(seed=seed) as world:
@@ -477,10 +477,10 @@
 
 
 async def some_random_words() -> list[str]:
-    """Run random_words with six seeds."""
+    """Run random_target_events with six seeds."""
     faults: list[str] = []
     for seed in range(6):
-        faults += [f"{seed}: {f}" for f in await random_words(seed)]
+        faults += [f"{seed}: {f}" for f in await random_target_events(seed)]
     return faults
 
 
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -97,7 +97,7 @@
         return self._instances
 
 
-class Place:
+class ReplicaProcess:
     """The name, address and disk of a replica and, while up, its process."""
 
     def __init__(self, number: int, rng: random.Random) -> None:
@@ -130,7 +130,9 @@
         self._starts = 0
         self.rng = random.Random(seed)
         self.network = standins.MemoryNetwork(self.rng)
-        self.places = [Place(number, self.rng) for number in (1, 2, 3)]
+        self.places = [
+            ReplicaProcess(number, self.rng) for number in (1, 2, 3)
+        ]
         self.spec = catalogue.EngineSpec(
             64, 100_000, 1e6, 3, 4.0, (catalogue.BaseModel(MODEL, 1, 1),)
         )
@@ -156,7 +158,7 @@
             if place.up:
                 await self.stop(place)
 
-    async def start(self, place: Place, forms: bool = False) -> None:
+    async def start(self, place: ReplicaProcess, forms: bool = False) -> None:
         """Start a replica's process."""
         instances = tuple(
             targets.Instance(target, POOL, f"10.1.0.{n}:1", "mnl-a")
@@ -186,14 +188,14 @@
         )
         await place.replica.__aenter__()
 
-    async def stop(self, place: Place) -> None:
+    async def stop(self, place: ReplicaProcess) -> None:
         """Kill a replica's process."""
         self.network.kill(place.address)
         place.disk.crash()
         replica, place.replica = place.replica, None
         await replica.__aexit__(None, None, None)
 
-    async def leader(self) -> Place:
+    async def leader(self) -> ReplicaProcess:
         """Wait for a leader and return it."""
         for _ in range(600):
             for place in self.places:
@@ -202,7 +204,7 @@
             await asyncio.sleep(0.02)
         raise AssertionError("No leader was elected within 12 s.")
 
-    async def ordering(self) -> tuple[Place, Place]:
+    async def ordering(self) -> tuple[ReplicaProcess, ReplicaProcess]:
         """Wait until the leader issues orders; return it and a follower."""
         first = await self.leader()
         other = next(place for place in self.places if place is not first)
@@ -211,7 +213,7 @@
         await self.ask()
         return first, other
 
-    async def move_lead(self, place: Place) -> None:
+    async def move_lead(self, place: ReplicaProcess) -> None:
         """Have a replica elected at once, without a fault."""
         node = place.replica.node
         for _ in range(40):
@@ -227,7 +229,10 @@
         return await self.ask_at(await self.leader(), patience_s)
 
     async def ask_at(
-        self, place: Place, patience_s: float, adapter: str | None = None
+        self,
+        place: ReplicaProcess,
+        patience_s: float,
+        adapter: str | None = None,
     ) -> bool:
         """Ask a replica for a place; return whether it was granted."""
         self.asked += 1
--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -165,9 +165,9 @@
 
     # Checking.
 
-    def _check(self, holds: bool, promise: str, what: str) -> None:
+    def _check(self, holds: bool, guarantee: str, what: str) -> None:
         if not holds:
-            fault = f"{promise}: {what}"
+            fault = f"{guarantee}: {what}"
             if fault not in self.faults:
                 self.faults.append(fault)
 
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -45,10 +45,10 @@
     return await asyncio.gather(*tasks)
 
 
-def _error_violations(promise: str, answers: list) -> list[str]:
+def _error_violations(guarantee: str, answers: list) -> list[str]:
     """Return a violation for each answer that ended with an error."""
     return [
-        f"{promise}: {answer.error!r}"
+        f"{guarantee}: {answer.error!r}"
         for answer in answers
         if answer.error is not None
     ]
@@ -962,11 +962,11 @@
     """A disabled guard and the scenario that must detect it.
 
     Args:
-        promise: number of the guarantee that the guard protects.
+        guarantee: number of the guarantee that the guard protects.
         guard_off: context manager that disables the guard.
     """
 
-    promise: int
+    guarantee: int
     scenario: str
     guard_off: collections.abc.Callable[[], contextlib.AbstractContextManager]
 
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -97,7 +97,7 @@
     return targets.Instance(str(start), ledger.POOL, ADDRESS, "mnl-a")
 
 
-async def _serves_anew(world: RestartHarness) -> list[str]:
+async def _check_after_restart(world: RestartHarness) -> list[str]:
     """Return faults if the placer fails a request or keeps old state.
 
     Old state is what the placer recorded before the engine's restart.
@@ -131,7 +131,7 @@
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         await world.request("a0", 0.05)
         world.served = 0
-        faults = await _serves_anew(world)
+        faults = await _check_after_restart(world)
         (before,) = world.holdings
         world.read_list()
         world.listed_by_name["e0"] = BORN_MS + LATER_MS
@@ -149,7 +149,7 @@
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         world.listed_by_name["e0"] = BORN_MS + LATER_MS
         world.read_list()
-        return await _serves_anew(world)
+        return await _check_after_restart(world)
 
 
 async def told_by_neither() -> list[str]:
@@ -162,7 +162,7 @@
         world.engine_by_id["e0"].restart(None)
         await world.request("a0", 0.05)
         world.served = 0
-        return await _serves_anew(world)
+        return await _check_after_restart(world)
 
 
 async def told_the_same() -> list[str]:
@@ -195,7 +195,7 @@
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         await world.request("a0", 0.05)
         world.served = 0
-        return await _serves_anew(world)
+        return await _check_after_restart(world)
 
 
 SCENARIOS = {
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -64,7 +64,7 @@
     daemon: dict = dataclasses.field(default_factory=dict)
 
 
-class FaultSteps(wire.FaultInjector):
+class ScheduledFaultInjector(wire.FaultInjector):
     """Runs a scheduled action when its step is first reached."""
 
     def __init__(self, place: "EntryInstance") -> None:
@@ -107,7 +107,7 @@
             link = standins.Link()
             self.link_by_address[address] = link
             if self.frozen:
-                link.held.clear()
+                link.awake.clear()
             self.world.links[(self.name, address)].append(link)
         return self.link_by_address[address]
 
@@ -212,7 +212,7 @@
             standins.MemoryInstanceList(self.instances, self.list_link),
             place.disk,
             random.Random(self.rng.random()),
-            steps=FaultSteps(place),
+            steps=ScheduledFaultInjector(place),
             wall_s=self.wall_s,
         )
         daemon = daemon_lib.Daemon(self.daemon_settings(place), outside)
@@ -227,7 +227,7 @@
         self.oracle.record_kill(place)
         self.network.kill(place.address)
         for link in place.links:
-            link.held.clear()
+            link.awake.clear()
         if place.disk is not None:
             place.disk.crash()
         for task in list(place.tasks):
@@ -250,7 +250,7 @@
         place.frozen = True
         place.host.awake.clear()
         for link in place.links:
-            link.held.clear()
+            link.awake.clear()
 
     def wake(self, place: EntryInstance) -> None:
         """Resume a frozen process."""
@@ -258,7 +258,7 @@
         if place.up:
             place.host.awake.set()
             for link in place.links:
-                link.held.set()
+                link.awake.set()
 
     def leader(self) -> EntryInstance | None:
         """Return the running leader that holds a leader lease, if any."""
--- a/libs/standins/src/bergamotsail/standins/_memory.py
+++ b/libs/standins/src/bergamotsail/standins/_memory.py
@@ -25,7 +25,7 @@
         crossed: whether each chunk is duplicated and followed by a chunk
             of another stream.
         lose_chunks: whether one chunk in seven is lost.
-        held: cleared while the sender is frozen.
+        awake: cleared while the sender is frozen.
     """
 
     def __init__(self) -> None:
@@ -34,12 +34,12 @@
         self.delay_s = 0.0005
         self.crossed = False
         self.lose_chunks = False
-        self.held = asyncio.Event()
-        self.held.set()
+        self.awake = asyncio.Event()
+        self.awake.set()
 
     async def wait_unfrozen(self) -> None:
         """Block while the sender is frozen."""
-        await self.held.wait()
+        await self.awake.wait()
 
     async def deliver_call(self) -> None:
         """Simulate sending a call to the target.
