--- a/features/support/fatal.py
+++ b/features/support/fatal.py
@@ -33,7 +33,7 @@
 
 async def _ask(world: SimulatedCluster, number: int, prompt: str) -> str:
     """Send one completion; return its error code, or "served"."""
-    at = world.place(number % 5)
+    at = world.entry(number % 5)
     request = routing.Completion(
         f"fatal-{number}", "adapter-0", targets.Prompt(prompt, 4), 10.0
     )
@@ -139,7 +139,7 @@
         8.0,
         key,
     )
-    at = world.place(number % 5)
+    at = world.entry(number % 5)
     services = at.daemon.services
     try:
         result = await services.call(
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -33,7 +33,7 @@
     """One command of a history and the pause after it."""
 
     action: str
-    place: int
+    entry: int
     number: int
     pause_s: float
 
@@ -92,62 +92,62 @@
     def _spawn(self, work) -> None:
         self._tasks.append(asyncio.create_task(work))
 
-    def _place(self, command: Command) -> world_lib.EntryInstance:
-        return self._world.place(command.place)
+    def _entry(self, command: Command) -> world_lib.EntryInstance:
+        return self._world.entry(command.entry)
 
     def _usable_instance(
         self, command: Command
     ) -> world_lib.EntryInstance | None:
-        place = self._place(command)
-        return place if place.up and not place.frozen else None
+        entry = self._entry(command)
+        return entry if entry.up and not entry.frozen else None
 
     async def _complete(self, command: Command) -> None:
-        place = self._usable_instance(command)
-        if place is not None:
-            self._spawn(self._world.complete(command.number, place, 8))
+        entry = self._usable_instance(command)
+        if entry is not None:
+            self._spawn(self._world.complete(command.number, entry, 8))
 
     async def _leave(self, command: Command) -> None:
-        place = self._usable_instance(command)
-        if place is not None:
+        entry = self._usable_instance(command)
+        if entry is not None:
             self._spawn(
-                self._world.complete(command.number, place, 8, leave_after=2)
+                self._world.complete(command.number, entry, 8, leave_after=2)
             )
 
     async def _book(self, command: Command) -> None:
-        place = self._usable_instance(command)
+        entry = self._usable_instance(command)
         self._booked += 1
-        if place is not None:
-            self._spawn(self._world.book(self._booked, place, resends=2))
+        if entry is not None:
+            self._spawn(self._world.book(self._booked, entry, resends=2))
 
     async def _put(self, command: Command) -> None:
-        place = self._usable_instance(command)
+        entry = self._usable_instance(command)
         owner = world_lib.MEMBERS[command.number % 2]
         value = world_lib.adapter_value(
             owner, ("v1", "v2", f"x{len(self._tasks)}")
         )
         name = f"adapter-{command.number}"
-        if place is not None:
-            self._spawn(self._world.put("adapter", name, value, place))
+        if entry is not None:
+            self._spawn(self._world.put("adapter", name, value, entry))
 
     async def _kill(self, command: Command) -> None:
-        await self._world.kill(self._place(command))
+        await self._world.kill(self._entry(command))
 
     async def _start(self, command: Command) -> None:
-        if not self._place(command).up:
-            await self._world.start(self._place(command))
+        if not self._entry(command).up:
+            await self._world.start(self._entry(command))
 
     async def _freeze(self, command: Command) -> None:
-        if self._place(command).up:
-            self._world.freeze(self._place(command))
+        if self._entry(command).up:
+            self._world.freeze(self._entry(command))
 
     async def _wake(self, command: Command) -> None:
-        self._world.wake(self._place(command))
+        self._world.wake(self._entry(command))
 
     async def _cut(self, command: Command) -> None:
-        self._world.network.isolate(self._place(command).address)
+        self._world.network.isolate(self._entry(command).address)
 
     async def _cut_one_way(self, command: Command) -> None:
-        address = self._place(command).address
+        address = self._entry(command).address
         self._world.network.isolate(address, both_ways=False)
 
     async def _heal(self, command: Command) -> None:
@@ -157,23 +157,23 @@
                 link.lose_replies = False
 
     async def _lose_disk(self, command: Command) -> None:
-        place = self._place(command)
-        if place.disk is None:
+        entry = self._entry(command)
+        if entry.disk is None:
             return
-        if matrix.other_replicas_vote(self._world, place):
-            await self._world.kill(place)
-            place.disk.lose()
-            await self._world.start(place)
+        if matrix.other_replicas_vote(self._world, entry):
+            await self._world.kill(entry)
+            entry.disk.lose()
+            await self._world.start(entry)
 
     async def _fail_sync(self, command: Command) -> None:
-        if self._place(command).disk is not None:
-            self._place(command).disk.fail_syncs = True
+        if self._entry(command).disk is not None:
+            self._entry(command).disk.fail_syncs = True
 
     async def _tear(self, command: Command) -> None:
-        place = self._place(command)
-        if place.disk is not None:
-            place.disk.tear = True
-            await self._world.restart(place)
+        entry = self._entry(command)
+        if entry.disk is not None:
+            entry.disk.tear = True
+            await self._world.restart(entry)
 
     async def _engine_restart(self, command: Command) -> None:
         self._world.engine(command.number % 2).restart()
@@ -192,20 +192,20 @@
         self._world.network.slow = 0.2
 
     async def _stop(self, command: Command) -> None:
-        self._spawn(matrix.stop_and_start(self._place(command)))
+        self._spawn(matrix.stop_and_start(self._entry(command)))
 
     async def _hand_over(self, command: Command) -> None:
-        owners = self._place(command).daemon.owners
-        if self._place(command).up:
+        owners = self._entry(command).daemon.owners
+        if self._entry(command).up:
             owners.hand_over(list(owners.by_target))
 
     async def _transfer(self, command: Command) -> None:
-        place = self._world.leader()
-        if place is not None:
-            self._spawn(self._transfer_leader(place))
+        entry = self._world.leader()
+        if entry is not None:
+            self._spawn(self._transfer_leader(entry))
 
-    async def _transfer_leader(self, place: world_lib.EntryInstance) -> None:
-        moving = asyncio.create_task(place.daemon.node.transfer())
+    async def _transfer_leader(self, entry: world_lib.EntryInstance) -> None:
+        moving = asyncio.create_task(entry.daemon.node.transfer())
         await asyncio.wait([moving], timeout=3.0)
         moving.cancel()
 
--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -41,87 +41,87 @@
     world.oracle.background.add(asyncio.create_task(run_delayed()))
 
 
-def _replica(place: EntryInstance) -> EntryInstance:
-    """Return the place if it is a replica, else the first replica."""
-    return place if place.disk is not None else place.world.place(0)
+def _replica(entry: EntryInstance) -> EntryInstance:
+    """Return the entry if it is a replica, else the first replica."""
+    return entry if entry.disk is not None else entry.world.entry(0)
 
 
-async def kill(place: EntryInstance) -> None:
+async def kill(entry: EntryInstance) -> None:
     """Kill the process and restart it after 2 s."""
-    world = place.world
-    await _run_later(world, 2.0, lambda: world.restart(place))
-    await world.kill_here(place)
+    world = entry.world
+    await _run_later(world, 2.0, lambda: world.restart(entry))
+    await world.kill_here(entry)
 
 
-async def freeze(place: EntryInstance) -> None:
+async def freeze(entry: EntryInstance) -> None:
     """Freeze the process past the end of its lease, then resume it."""
-    world = place.world
+    world = entry.world
 
     async def wake() -> None:
-        world.wake(place)
+        world.wake(entry)
 
-    world.freeze(place)
+    world.freeze(entry)
     await _run_later(world, PAST_LEASE_S, wake)
-    await place.host.awake.wait()
+    await entry.host.awake.wait()
 
 
-async def lose_disk(place: EntryInstance) -> None:
+async def lose_disk(entry: EntryInstance) -> None:
     """Kill a replica and restart it with a blank disk."""
-    world = place.world
-    place = _replica(place)
+    world = entry.world
+    entry = _replica(entry)
 
     async def lose() -> None:
-        await _wait_other_replicas_vote(world, place)
-        await world.kill(place)
-        place.disk.lose()
+        await _wait_other_replicas_vote(world, entry)
+        await world.kill(entry)
+        entry.disk.lose()
         await asyncio.sleep(1.0)
-        await world.start(place)
+        await world.start(entry)
 
     await _run_later(world, 0.0, lose)
 
 
 async def _wait_other_replicas_vote(
-    world: SimulatedCluster, place: EntryInstance
+    world: SimulatedCluster, entry: EntryInstance
 ) -> None:
     """Wait until all other replicas vote, for 20 s at the most.
 
     Losing two disks of three at once loses the log's majority.
     """
     for _ in range(200):
-        if other_replicas_vote(world, place):
+        if other_replicas_vote(world, entry):
             return
         await asyncio.sleep(0.1)
 
 
-async def failed_sync(place: EntryInstance) -> None:
+async def failed_sync(entry: EntryInstance) -> None:
     """Make every sync of a replica fail."""
-    _replica(place).disk.fail_syncs = True
+    _replica(entry).disk.fail_syncs = True
 
 
-async def full_disk(place: EntryInstance) -> None:
+async def full_disk(entry: EntryInstance) -> None:
     """Make every write of a replica fail."""
-    _replica(place).disk.full = True
+    _replica(entry).disk.full = True
 
 
-async def torn_write(place: EntryInstance) -> None:
+async def torn_write(entry: EntryInstance) -> None:
     """Kill a replica in the middle of a write."""
-    world = place.world
-    place = _replica(place)
-    place.disk.tear = True
-    await _run_later(world, 1.0, lambda: world.restart(place))
-    await _run_later(world, 0.0, lambda: world.kill(place))
+    world = entry.world
+    entry = _replica(entry)
+    entry.disk.tear = True
+    await _run_later(world, 1.0, lambda: world.restart(entry))
+    await _run_later(world, 0.0, lambda: world.kill(entry))
 
 
 async def _cut(
-    place: EntryInstance, for_s: float, outward: bool, inward: bool
+    entry: EntryInstance, for_s: float, outward: bool, inward: bool
 ):
-    world = place.world
-    others = [p.address for p in world.places if p is not place]
+    world = entry.world
+    others = [p.address for p in world.entries if p is not entry]
     for other in others:
         if outward:
-            world.network.cut(place.address, other, False)
+            world.network.cut(entry.address, other, False)
         if inward:
-            world.network.cut(other, place.address, False)
+            world.network.cut(other, entry.address, False)
 
     async def heal() -> None:
         world.network.cuts.clear()
@@ -129,29 +129,29 @@
     await _run_later(world, for_s, heal)
 
 
-async def cut_both_ways(place: EntryInstance) -> None:
+async def cut_both_ways(entry: EntryInstance) -> None:
     """Cut the daemon off from all others."""
-    await _cut(place, PAST_LEASE_S, True, True)
+    await _cut(entry, PAST_LEASE_S, True, True)
 
 
-async def cut_outward(place: EntryInstance) -> None:
+async def cut_outward(entry: EntryInstance) -> None:
     """Drop all messages that the daemon sends to others."""
-    await _cut(place, PAST_LEASE_S, True, False)
+    await _cut(entry, PAST_LEASE_S, True, False)
 
 
-async def cut_inward(place: EntryInstance) -> None:
+async def cut_inward(entry: EntryInstance) -> None:
     """Drop all messages that others send to the daemon."""
-    await _cut(place, PAST_LEASE_S, False, True)
+    await _cut(entry, PAST_LEASE_S, False, True)
 
 
-async def long_partition(place: EntryInstance) -> None:
+async def long_partition(entry: EntryInstance) -> None:
     """Cut the daemon off for several times its lease."""
-    await _cut(place, LONG_PARTITION_S, True, True)
+    await _cut(entry, LONG_PARTITION_S, True, True)
 
 
-async def crossed_messages(place: EntryInstance) -> None:
+async def crossed_messages(entry: EntryInstance) -> None:
     """Delay, duplicate and reorder messages."""
-    world = place.world
+    world = entry.world
     world.network.duplicate = 0.3
     world.network.slow = 0.3
     await _run_later(world, 5.0, make_network_healer(world))
@@ -166,9 +166,9 @@
     return heal
 
 
-async def lost_replies(place: EntryInstance) -> None:
+async def lost_replies(entry: EntryInstance) -> None:
     """Drop the replies of all targets for 1.5 s."""
-    world = place.world
+    world = entry.world
     for links in world.links.values():
         for link in links:
             link.lose_replies = True
@@ -181,15 +181,15 @@
     await _run_later(world, 1.5, heal)
 
 
-async def engines_restart(place: EntryInstance) -> None:
+async def engines_restart(entry: EntryInstance) -> None:
     """Restart all engines without any resident adapter."""
-    for engine in place.world.engine_by_address.values():
+    for engine in entry.world.engine_by_address.values():
         engine.restart()
 
 
-async def loads_fail(place: EntryInstance) -> None:
+async def loads_fail(entry: EntryInstance) -> None:
     """Make all loads fail for 2 s."""
-    world = place.world
+    world = entry.world
     for engine in world.engine_by_address.values():
         engine.load_fault = wire.EngineError("The load failed.")
 
@@ -200,9 +200,9 @@
     await _run_later(world, 2.0, heal)
 
 
-async def loads_hang(place: EntryInstance) -> None:
+async def loads_hang(entry: EntryInstance) -> None:
     """Make loads that start within 2 s hang for 3 s."""
-    world = place.world
+    world = entry.world
     for engine in world.engine_by_address.values():
         engine.load_hang_s = 3.0
 
@@ -213,18 +213,18 @@
     await _run_later(world, 2.0, heal)
 
 
-async def target_leaves(place: EntryInstance) -> None:
+async def target_leaves(entry: EntryInstance) -> None:
     """Mark an engine as leaving in the instance list."""
-    world = place.world
+    world = entry.world
     world.leaving.add("runner-0")
     world.publish()
     now = asyncio.get_running_loop().time()
     world.oracle.left_at["runner-0"] = now
 
 
-async def list_empty(place: EntryInstance) -> None:
+async def list_empty(entry: EntryInstance) -> None:
     """Serve an empty instance list for 5 s."""
-    world = place.world
+    world = entry.world
     world.missing = {"runner-0", "runner-1", "app-0", "app-1"}
     world.publish()
 
@@ -235,17 +235,17 @@
     await _run_later(world, 5.0, heal)
 
 
-async def list_cut(place: EntryInstance) -> None:
+async def list_cut(entry: EntryInstance) -> None:
     """Make the instance list unreachable."""
-    place.world.list_link.cut = True
+    entry.world.list_link.cut = True
 
 
-async def operators_race(place: EntryInstance) -> None:
+async def operators_race(entry: EntryInstance) -> None:
     """Write one entry concurrently from all daemons at one revision."""
-    world = place.world
+    world = entry.world
 
     async def race() -> None:
-        up = [p for p in world.places if p.up]
+        up = [p for p in world.entries if p.up]
         view = up[0].daemon.session.view
         revision = view.adapter_by_id["adapter-1"].revision
         value = world_lib.adapter_value("lakeshore")
@@ -264,11 +264,11 @@
     await _run_later(world, 0.0, race)
 
 
-async def second_loss_in_repair(place: EntryInstance) -> None:
+async def second_loss_in_repair(entry: EntryInstance) -> None:
     """Kill a second replica while the first recovers from a lost disk."""
-    world = place.world
-    replicas = [p for p in world.places if p.disk is not None]
-    first = _replica(place)
+    world = entry.world
+    replicas = [p for p in world.entries if p.disk is not None]
+    first = _replica(entry)
     second = replicas[(replicas.index(first) + 1) % len(replicas)]
 
     async def lose() -> None:
@@ -285,10 +285,10 @@
     await _run_later(world, 0.0, lose)
 
 
-async def planned_stop(place: EntryInstance) -> None:
+async def planned_stop(entry: EntryInstance) -> None:
     """Stop the daemon gracefully, then restart it."""
-    world = place.world
-    await _run_later(world, 0.0, lambda: stop_and_start(place))
+    world = entry.world
+    await _run_later(world, 0.0, lambda: stop_and_start(entry))
 
 
 FAULTS: tuple[Fault, ...] = (
@@ -372,8 +372,8 @@
     fault = FAULT_BY_NAME[case.fault]
     step = wire.Step(case.step)
 
-    async def during(place: EntryInstance) -> None:
-        await _run_later(world, DURING_DELAY_S, lambda: fault(place))
+    async def during(entry: EntryInstance) -> None:
+        await _run_later(world, DURING_DELAY_S, lambda: fault(entry))
 
     if case.when == DURING:
         world.action_by_step[(step, wire.Phase.BEFORE)] = during
@@ -409,7 +409,7 @@
     number = 0
     while loop.time() - started < LOAD_DURATION_S:
         number += 1
-        up = [p for p in world.places if p.up and not p.frozen]
+        up = [p for p in world.entries if p.up and not p.frozen]
         if up:
             at = world.rng.choice(up)
             adapter = world.rng.randrange(world.settings.adapters)
@@ -440,16 +440,16 @@
         with contextlib.suppress(wire.ServingError):
             await leader.daemon.node.transfer()
     await asyncio.sleep(1.0)
-    blank = world.place(2)
+    blank = world.entry(2)
     if blank.up and not blank.frozen and other_replicas_vote(world, blank):
         await world.kill(blank)
         blank.disk.lose()
         await world.start(blank)
     await asyncio.sleep(1.0)
     owners = [
-        place
-        for place in world.places
-        if place.up and not place.frozen and place.daemon.owners.by_target
+        entry
+        for entry in world.entries
+        if entry.up and not entry.frozen and entry.daemon.owners.by_target
     ]
     if owners:
         await stop_and_start(owners[-1])
@@ -458,31 +458,31 @@
 def other_replicas_vote(world: SimulatedCluster, blank: EntryInstance) -> bool:
     """Whether all other replicas vote, so that this disk may be lost."""
     return all(
-        place.up
-        and not place.frozen
-        and place.daemon.node.error is None
-        and place.daemon.node.config.has_voter(place.daemon.node.member.id)
-        and place.daemon.node.commit > 0
-        for place in world.places
-        if place.disk is not None and place is not blank
+        entry.up
+        and not entry.frozen
+        and entry.daemon.node.error is None
+        and entry.daemon.node.config.has_voter(entry.daemon.node.member.id)
+        and entry.daemon.node.commit > 0
+        for entry in world.entries
+        if entry.disk is not None and entry is not blank
     )
 
 
-async def stop_and_start(place: EntryInstance) -> None:
+async def stop_and_start(entry: EntryInstance) -> None:
     """Stop a daemon gracefully and restart it.
 
     No request in progress may be aborted by the stop.
     """
-    world = place.world
-    if not place.up or place.frozen or place.daemon.stopping:
+    world = entry.world
+    if not entry.up or entry.frozen or entry.daemon.stopping:
         return
-    daemon = place.daemon
+    daemon = entry.daemon
     stopping = asyncio.create_task(daemon.stop())
-    while not stopping.done() and place.daemon is daemon and place.up:
+    while not stopping.done() and entry.daemon is daemon and entry.up:
         await asyncio.wait([stopping], timeout=0.1)
     stopping.cancel()
-    if place.daemon is daemon and place.up:
-        await world.restart(place)
+    if entry.daemon is daemon and entry.up:
+        await world.restart(entry)
 
 
 async def check_recovery(world: SimulatedCluster) -> None:
@@ -497,7 +497,7 @@
             f"recovery: a change was not accepted: {reply}"
         )
     for adapter in range(4):
-        at = world.places[adapter % len(world.places)]
+        at = world.entries[adapter % len(world.entries)]
         answer = await world.complete(adapter, at, deadline_s=30.0)
         if answer.error is not None:
             world.oracle.faults.append(
--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -160,7 +160,7 @@
             AcknowledgedChange(now, str(put.kind), put.id, revision, deleted)
         )
 
-    def record_kill(self, place: "world_lib.EntryInstance") -> None:
+    def record_kill(self, entry: "world_lib.EntryInstance") -> None:
         """Do nothing: no check depends on a killed process."""
 
     # Checking.
@@ -179,9 +179,9 @@
     def check_now(self) -> None:
         """Check the invariants that hold at any time."""
         fresh = [
-            place
-            for place in self.world.places
-            if place.up and not place.frozen and place.daemon.session.fresh()
+            entry
+            for entry in self.world.entries
+            if entry.up and not entry.frozen and entry.daemon.session.fresh()
         ]
         self._check_changes(fresh)
         self._check_owners(fresh)
@@ -190,9 +190,9 @@
 
     def _check_changes(self, fresh: list["world_lib.EntryInstance"]) -> None:
         now = asyncio.get_running_loop().time()
-        for place in fresh:
-            view = place.daemon.session.view
-            boot = place.daemon.session.boot
+        for entry in fresh:
+            view = entry.daemon.session.view
+            boot = entry.daemon.session.boot
             before = self._index_by_boot.get(boot, 0)
             self._check(
                 view.index >= before, "changes", f"{boot}: index decreased"
@@ -200,7 +200,7 @@
             self._index_by_boot[boot] = view.index
             for change in self.changes:
                 if now - change.at > MAX_PROPAGATION_S:
-                    self._check_applied(place.name, view, change)
+                    self._check_applied(entry.name, view, change)
 
     def _check_applied(
         self, name: str, view: catalogue.View, change: AcknowledgedChange
@@ -221,8 +221,10 @@
         ):
             return
         by_id = view.by_kind[catalogue.Kind(change.kind)]
-        entry = by_id.get(change.id)
-        revision = entry.revision if entry is not None else 0
+        catalogue_entry = by_id.get(change.id)
+        revision = (
+            catalogue_entry.revision if catalogue_entry is not None else 0
+        )
         self._check(
             revision >= change.revision,
             "changes",
@@ -231,10 +233,10 @@
 
     def _check_owners(self, fresh: list["world_lib.EntryInstance"]) -> None:
         owners: dict[str, list[str]] = collections.defaultdict(list)
-        for place in fresh:
-            for target, owner in place.daemon.owners.by_target.items():
+        for entry in fresh:
+            for target, owner in entry.daemon.owners.by_target.items():
                 if owner.may_order():
-                    owners[target].append(place.name)
+                    owners[target].append(entry.name)
         for target, names in owners.items():
             self._check(
                 len(names) == 1, "ownership", f"{target} owned by {names}"
@@ -246,9 +248,9 @@
         if limit is None:
             return
         used: collections.Counter = collections.Counter()
-        for place in self.world.places:
-            if place.up:
-                used.update(place.daemon.admission.used_by_key())
+        for entry in self.world.entries:
+            if entry.up:
+                used.update(entry.daemon.admission.used_by_key())
         for key, amount in used.items():
             if key.startswith("concurrency/member/"):
                 self._check(
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -35,7 +35,7 @@
     """Send model requests at a fixed interval and return their answers."""
     tasks = []
     for number in range(count):
-        up = [p for p in world.places if p.up and not p.frozen]
+        up = [p for p in world.entries if p.up and not p.frozen]
         at = up[number % len(up)]
         adapter = world.rng.randrange(world.settings.adapters)
         tasks.append(
@@ -77,7 +77,7 @@
     async with SimulatedCluster(Settings(seed=seed, load_s=2.0)) as world:
         waiting = [
             asyncio.create_task(
-                world.complete(0, world.place(n), version="v2")
+                world.complete(0, world.entry(n), version="v2")
             )
             for n in range(3)
         ]
@@ -103,11 +103,11 @@
     async with SimulatedCluster(settings) as world:
         sending = asyncio.create_task(_send(world, 120, 0.05, tokens=25))
         await asyncio.sleep(1.0)
-        owners = [p for p in world.places if p.daemon.owners.by_target]
+        owners = [p for p in world.entries if p.daemon.owners.by_target]
         await world.restart(owners[0])
         await asyncio.sleep(1.0)
-        for place in world.places:
-            place.daemon.owners.hand_over(list(place.daemon.owners.by_target))
+        for entry in world.entries:
+            entry.daemon.owners.hand_over(list(entry.daemon.owners.by_target))
         await sending
         return world.oracle.check_at_end()
 
@@ -121,15 +121,15 @@
     )
     async with SimulatedCluster(settings) as world:
         long_runs = [
-            asyncio.create_task(world.complete(n, world.place(n), 200))
+            asyncio.create_task(world.complete(n, world.entry(n), 200))
             for n in range(3)
         ]
         await asyncio.sleep(1.5)
-        for place in world.places:
-            place.daemon.owners.hand_over(list(place.daemon.owners.by_target))
+        for entry in world.entries:
+            entry.daemon.owners.hand_over(list(entry.daemon.owners.by_target))
         await asyncio.sleep(0.5)
         await _send(world, 40, 0.05, deadline_s=10.0)
-        owners = [p for p in world.places if p.daemon.owners.by_target]
+        owners = [p for p in world.entries if p.daemon.owners.by_target]
         await world.restart(owners[0])
         await _send(world, 40, 0.1, deadline_s=10.0)
         await asyncio.gather(*long_runs)
@@ -160,7 +160,7 @@
                 link.lose_replies = True
         sending = _send(world, 30, 0.05, deadline_s=1.0)
         bookings = [
-            asyncio.create_task(world.book(n, world.place(n % 5)))
+            asyncio.create_task(world.book(n, world.entry(n % 5)))
             for n in range(10)
         ]
         await sending
@@ -173,7 +173,7 @@
     async with SimulatedCluster(Settings(seed=seed)) as world:
         tasks = []
         for number in range(40):
-            at = world.place(number % 5)
+            at = world.entry(number % 5)
             if at.up:
                 tasks.append(
                     asyncio.create_task(world.book(number, at, resends=3))
@@ -184,7 +184,7 @@
                     link.lose_replies = lose
             if number in (22, 30):
                 await asyncio.sleep(0.01)
-                victim = world.place(3 + (number == 30))
+                victim = world.entry(3 + (number == 30))
                 await world.kill(victim)
                 await asyncio.sleep(0.2)
                 await world.start(victim)
@@ -198,9 +198,9 @@
     daemon = {"claim_retention_s": 10.0}
     async with SimulatedCluster(Settings(seed=seed, daemon=daemon)) as world:
         key = f"{int(world.wall_s())}-late"
-        await world.book(1, world.place(1), key=key)
+        await world.book(1, world.entry(1), key=key)
         await asyncio.sleep(60.0)
-        late = await world.book(1, world.place(2), key=key)
+        late = await world.book(1, world.entry(2), key=key)
         faults = world.oracle.check_at_end()
         if late.outcomes[-1][1] != "unknown":
             faults.append(f"at_most_once: late resend got {late.outcomes}")
@@ -237,13 +237,13 @@
     """Two daemons stop together under load, one of them the leader."""
     settings = Settings(seed=seed)
     async with SimulatedCluster(settings) as world:
-        stopping = [world.leader(), world.place(4)]
+        stopping = [world.leader(), world.entry(4)]
         tasks = []
         stops = []
         for number in range(60):
             # Callers with cached addresses still reach the stopping daemons.
             accepting = [
-                p for p in world.places if p.up and p.daemon.accepting
+                p for p in world.entries if p.up and p.daemon.accepting
             ]
             at = accepting[number % len(accepting)]
             tasks.append(
@@ -253,8 +253,8 @@
             )
             if number == 20:
                 stops = [
-                    asyncio.create_task(_stop(world, place))
-                    for place in stopping
+                    asyncio.create_task(_stop(world, entry))
+                    for entry in stopping
                 ]
             await asyncio.sleep(0.08)
         answers = await asyncio.gather(*tasks)
@@ -264,10 +264,10 @@
 
 
 async def _stop(
-    world: SimulatedCluster, place: world_lib.EntryInstance
+    world: SimulatedCluster, entry: world_lib.EntryInstance
 ) -> None:
-    await place.daemon.stop()
-    await world.kill(place)
+    await entry.daemon.stop()
+    await world.kill(entry)
 
 
 async def changes_survive_power_loss(seed: int = 1) -> list[str]:
@@ -276,12 +276,12 @@
         for number in range(5):
             value = world_lib.adapter_value("tahi", ("v1", f"n{number}"))
             await world.put("adapter", f"new-{number}", value)
-            replicas = world.places[: world.settings.replicas]
-            for place in replicas:
-                place.disk.tear = True
-                await world.kill(place)
-            for place in replicas:
-                await world.start(place)
+            replicas = world.entries[: world.settings.replicas]
+            for entry in replicas:
+                entry.disk.tear = True
+                await world.kill(entry)
+            for entry in replicas:
+                await world.start(entry)
             await world.settle(world.all_fresh, 30)
         await asyncio.sleep(10.0)
         return world.oracle.check_at_end()
@@ -294,18 +294,18 @@
     the leader together with an entry instance.
     """
     async with SimulatedCluster(Settings(seed=seed)) as world:
-        world.network.isolate(world.place(4).address)
+        world.network.isolate(world.entry(4).address)
         await world.put("adapter", "new-1", world_lib.adapter_value("tahi"))
         await asyncio.sleep(15.0)
         world.network.heal()
         await world.settle(world.all_fresh, 30)
         leader = world.leader()
-        minority = {leader.address, world.place(4).address}
-        for place in world.places:
-            if place.address not in minority:
+        minority = {leader.address, world.entry(4).address}
+        for entry in world.entries:
+            if entry.address not in minority:
                 for address in minority:
-                    world.network.cut(place.address, address)
-        majority = [p for p in world.places if p.address not in minority]
+                    world.network.cut(entry.address, address)
+        majority = [p for p in world.entries if p.address not in minority]
         for number in range(2, 6):
             value = world_lib.adapter_value("tahi")
             await world.put("adapter", f"new-{number}", value, majority[0])
@@ -324,14 +324,14 @@
     async with SimulatedCluster(Settings(seed=seed)) as world:
         faults = []
         for number in range(10):
-            view = world.place(0).daemon.session.view
+            view = world.entry(0).daemon.session.view
             revision = view.adapter_by_id["adapter-1"].revision
             world.network.slow = 0.3
             world.network.duplicate = 0.3
             value = world_lib.adapter_value("lakeshore", ("v1", f"r{number}"))
             racers = [
-                world.put("adapter", "adapter-1", value, place, revision)
-                for place in world.places
+                world.put("adapter", "adapter-1", value, entry, revision)
+                for entry in world.entries
             ]
             replies = await asyncio.gather(*racers)
             won = [r for r in replies if r and r.conflict is None]
@@ -382,13 +382,13 @@
             await asyncio.sleep(0.5)
             owners = [
                 p
-                for p in world.places
+                for p in world.entries
                 if p.up and p.daemon.owners.by_target and not p.frozen
             ]
-            place = owners[number % len(owners)]
-            world.freeze(place)
+            entry = owners[number % len(owners)]
+            world.freeze(entry)
             await asyncio.sleep(5.5)
-            world.wake(place)
+            world.wake(entry)
         await sending
         return world.oracle.check_at_end()
 
@@ -399,8 +399,8 @@
         sending = asyncio.create_task(_send(world, 100, 0.1))
         for _ in range(4):
             await asyncio.sleep(2.0)
-            for place in world.places:
-                owners = place.daemon.owners
+            for entry in world.entries:
+                owners = entry.daemon.owners
                 owners.hand_over(list(owners.by_target))
         answers = await sending
         faults = world.oracle.check_at_end()
@@ -443,7 +443,7 @@
             leaving.set()
             tasks = [
                 asyncio.create_task(
-                    world.complete(n % 8, world.place(n % 5), deadline_s=2.0)
+                    world.complete(n % 8, world.entry(n % 5), deadline_s=2.0)
                 )
                 for n in range(30)
             ]
@@ -453,8 +453,8 @@
                 task.cancel()
             await asyncio.sleep(12.0)
             faults = world.oracle.check_at_end()
-            for place in world.places:
-                for target, owner in place.daemon.owners.by_target.items():
+            for entry in world.entries:
+                for target, owner in entry.daemon.owners.by_target.items():
                     if owner.active:
                         faults.append(
                             f"leak: {target}: {owner.active} active runs"
@@ -468,7 +468,7 @@
         sending = asyncio.create_task(_send(world, 120, 0.1, deadline_s=15.0))
         for number in range(2):
             await asyncio.sleep(0.5)
-            owners = [p for p in world.places if p.daemon.owners.by_target]
+            owners = [p for p in world.entries if p.daemon.owners.by_target]
             world.network.isolate(owners[number % len(owners)].address)
             await asyncio.sleep(5.5)
             world.network.heal()
@@ -489,7 +489,7 @@
             _send(world, 120, 0.1, tokens=200, deadline_s=15.0)
         )
         await asyncio.sleep(2.0)
-        owners = [p for p in world.places if p.daemon.owners.by_target]
+        owners = [p for p in world.entries if p.daemon.owners.by_target]
         world.network.isolate(owners[0].address)
         await asyncio.sleep(6.0)
         world.network.heal()
@@ -510,7 +510,7 @@
             _send(world, 100, 0.1, tokens=300, deadline_s=15.0)
         )
         await asyncio.sleep(2.0)
-        silent = next(p for p in world.places if p.disk is None)
+        silent = next(p for p in world.entries if p.disk is None)
         world.network.isolate(silent.address)
         await world.leader().daemon.node.transfer()
         await asyncio.sleep(8.0)
@@ -546,14 +546,14 @@
     """
     settings = Settings(seed=seed, member_concurrency=1)
     async with SimulatedCluster(settings) as world:
-        place = world.place(3)
-        running = asyncio.create_task(world.complete(0, place, tokens=250))
+        entry = world.entry(3)
+        running = asyncio.create_task(world.complete(0, entry, tokens=250))
         await asyncio.sleep(1.0)
         waiting = [
-            asyncio.create_task(world.complete(0, place)) for _ in range(3)
+            asyncio.create_task(world.complete(0, entry)) for _ in range(3)
         ]
         await asyncio.sleep(0.5)
-        world.network.isolate(place.address)
+        world.network.isolate(entry.address)
         await asyncio.sleep(3.5)
         faults = []
         if running.done():
@@ -594,13 +594,13 @@
     lapsed: set[str] = set()
     until = loop.time() + watched_s
     while loop.time() < until:
-        for place in world.places:
-            if place.daemon is None:
+        for entry in world.entries:
+            if entry.daemon is None:
                 continue
-            if place.daemon.session.fresh():
-                held.add(place.name)
-            elif place.name in held:
-                lapsed.add(place.name)
+            if entry.daemon.session.fresh():
+                held.add(entry.name)
+            elif entry.name in held:
+                lapsed.add(entry.name)
         await asyncio.sleep(0.01)
     return lapsed
 
@@ -636,7 +636,7 @@
             leader = world.leader()
             if leader is None:
                 continue
-            others = [p for p in world.places if p is not leader]
+            others = [p for p in world.entries if p is not leader]
             silent = others[number % len(others)]
             if silent.disk is None:
                 world.freeze(silent)
@@ -660,12 +660,12 @@
         }
         await world.put("member", "tahi", value)
         await asyncio.sleep(1.5)
-        for place in world.places:
-            await world.complete(0, place)
+        for entry in world.entries:
+            await world.complete(0, entry)
         started = asyncio.get_running_loop().time()
         tasks = [
             asyncio.create_task(
-                world.complete(0, world.place(n % 5), deadline_s=8.0)
+                world.complete(0, world.entry(n % 5), deadline_s=8.0)
             )
             for n in range(150)
         ]
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -67,16 +67,16 @@
 class ScheduledFaultInjector(wire.FaultInjector):
     """Runs a scheduled action when its step is first reached."""
 
-    def __init__(self, place: "EntryInstance") -> None:
-        self._place = place
+    def __init__(self, entry: "EntryInstance") -> None:
+        self._entry = entry
 
     async def reach(self, step: wire.Step, phase: wire.Phase) -> None:
-        world = self._place.world
+        world = self._entry.world
         world.reached[(step, phase)] += 1
         action = world.action_by_step.pop((step, phase), None)
         if action is not None:
-            world.fired.append((step, phase, self._place.name))
-            await action(self._place)
+            world.fired.append((step, phase, self._entry.name))
+            await action(self._entry)
 
 
 class EntryInstance:
@@ -138,8 +138,10 @@
         self.list_link = standins.Link()
         self.leaving: set[str] = set()
         self.missing: set[str] = set()
-        self.places = [EntryInstance(self, n) for n in range(settings.daemons)]
-        self.place_by_name = {place.name: place for place in self.places}
+        self.entries = [
+            EntryInstance(self, n) for n in range(settings.daemons)
+        ]
+        self.entry_by_name = {entry.name: entry for entry in self.entries}
         self._stack = contextlib.AsyncExitStack()
         self._operations = 0
         self._requests = 0
@@ -153,9 +155,9 @@
             service = standins.ServiceStandIn(0.02)
             self.service_by_address[f"10.2.0.{number + 1}:8000"] = service
         self.publish()
-        for place in self.places:
-            await self.start(place)
-        await self.place(0).daemon.node.form()
+        for entry in self.entries:
+            await self.start(entry)
+        await self.entry(0).daemon.node.form()
         await self.settle(self.all_fresh, 20)
         await self._create_entries()
         newest = max(change.revision for change in self.oracle.changes)
@@ -167,26 +169,26 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.oracle.stop()
-        for place in self.places:
-            if place.up:
-                await self.kill(place)
+        for entry in self.entries:
+            if entry.up:
+                await self.kill(entry)
         await self._stack.aclose()
 
     # Starting and stopping.
 
-    def place(self, number: int) -> EntryInstance:
+    def entry(self, number: int) -> EntryInstance:
         """Return an entry instance by number."""
-        return self.places[number]
+        return self.entries[number]
 
     def daemon_settings(
-        self, place: EntryInstance
+        self, entry: EntryInstance
     ) -> settings_lib.DaemonSettings:
         """Return the settings of an instance's daemon."""
-        replicas = [p.address for p in self.places if p.disk is not None]
+        replicas = [p.address for p in self.entries if p.disk is not None]
         values = {
-            "name": place.name,
-            "address": place.address,
-            "datacentre": DATACENTRES[place.number % 3],
+            "name": entry.name,
+            "address": entry.address,
+            "datacentre": DATACENTRES[entry.number % 3],
             "replicas": replicas,
             "instance_list": "http://list",
             "peer_token": PEER_TOKEN,
@@ -194,78 +196,78 @@
             "answer_keep_s": 2.0,
             "consensus": {"snapshot_entries": 60},
         }
-        if place.disk is not None:
+        if entry.disk is not None:
             values["data_folder"] = "data"
         values |= self.settings.daemon
         return settings_lib.parse(json.dumps(values))
 
-    async def start(self, place: EntryInstance) -> None:
+    async def start(self, entry: EntryInstance) -> None:
         """Start the process of an instance."""
-        if place.disk is not None:
-            place.disk.start_again()
-        place.frozen = False
-        place.link_by_address.clear()
+        if entry.disk is not None:
+            entry.disk.start_again()
+        entry.frozen = False
+        entry.link_by_address.clear()
         outside = daemon_lib.Dependencies(
-            standins.MemoryTransport(self.network, place.address),
-            lambda address: self._engine_for(place, address),
-            lambda address: self._service_for(place, address),
+            standins.MemoryTransport(self.network, entry.address),
+            lambda address: self._engine_for(entry, address),
+            lambda address: self._service_for(entry, address),
             standins.MemoryInstanceList(self.instances, self.list_link),
-            place.disk,
+            entry.disk,
             random.Random(self.rng.random()),
-            steps=ScheduledFaultInjector(place),
+            steps=ScheduledFaultInjector(entry),
             wall_s=self.wall_s,
         )
-        daemon = daemon_lib.Daemon(self.daemon_settings(place), outside)
-        place.host = self.network.join(place.address, daemon.server)
-        place.daemon = daemon
+        daemon = daemon_lib.Daemon(self.daemon_settings(entry), outside)
+        entry.host = self.network.join(entry.address, daemon.server)
+        entry.daemon = daemon
         await daemon.__aenter__()
 
-    async def kill(self, place: EntryInstance) -> None:
+    async def kill(self, entry: EntryInstance) -> None:
         """Kill a process and cancel everything that it still has to do."""
-        if not place.up:
+        if not entry.up:
             return
-        self.oracle.record_kill(place)
-        self.network.kill(place.address)
-        for link in place.links:
+        self.oracle.record_kill(entry)
+        self.network.kill(entry.address)
+        for link in entry.links:
             link.awake.clear()
-        if place.disk is not None:
-            place.disk.crash()
-        for task in list(place.tasks):
+        if entry.disk is not None:
+            entry.disk.crash()
+        for task in list(entry.tasks):
             task.cancel()
-        await place.daemon.__aexit__(None, None, None)
+        await entry.daemon.__aexit__(None, None, None)
 
-    async def kill_here(self, place: EntryInstance) -> None:
+    async def kill_here(self, entry: EntryInstance) -> None:
         """Kill a process from within one of its own steps; never returns."""
-        ending = asyncio.create_task(self.kill(place))
+        ending = asyncio.create_task(self.kill(entry))
         self.oracle.background.add(ending)
         await asyncio.Event().wait()
 
-    async def restart(self, place: EntryInstance) -> None:
+    async def restart(self, entry: EntryInstance) -> None:
         """Kill a process if it is running, then start it."""
-        await self.kill(place)
-        await self.start(place)
+        await self.kill(entry)
+        await self.start(entry)
 
-    def freeze(self, place: EntryInstance) -> None:
+    def freeze(self, entry: EntryInstance) -> None:
         """Suspend a process; timers that expire meanwhile fire late."""
-        place.frozen = True
-        place.host.awake.clear()
-        for link in place.links:
+        entry.frozen = True
+        entry.host.awake.clear()
+        for link in entry.links:
             link.awake.clear()
 
-    def wake(self, place: EntryInstance) -> None:
+    def wake(self, entry: EntryInstance) -> None:
         """Resume a frozen process."""
-        place.frozen = False
-        if place.up:
-            place.host.awake.set()
-            for link in place.links:
+        entry.frozen = False
+        if entry.up:
+            entry.host.awake.set()
+            for link in entry.links:
                 link.awake.set()
 
     def leader(self) -> EntryInstance | None:
         """Return the running leader that holds a leader lease, if any."""
-        for place in self.places:
-            if place.up and not place.frozen and place.daemon.node:
-                if place.daemon.node.holds_lease():
-                    return place
+        for entry in self.entries:
+            if entry.up and not entry.frozen and entry.daemon.node:
+                if entry.daemon.node.holds_lease():
+                    return entry
         return None
 
     async def heal(self) -> None:
@@ -283,30 +285,30 @@
         for engine in self.engine_by_address.values():
             engine.load_fault = None
             engine.load_hang_s = 0.0
-        for place in self.places:
-            if place.disk is not None:
+        for entry in self.entries:
+            if entry.disk is not None:
                 # The fault may be set on a disk that was not written to yet.
-                place.disk.fail_syncs = False
-                place.disk.full = False
-            node = place.daemon.node if place.daemon else None
+                entry.disk.fail_syncs = False
+                entry.disk.full = False
+            node = entry.daemon.node if entry.daemon else None
             failed = node is not None and node.error is not None
-            if place.frozen:
-                self.wake(place)
-            if not place.up or failed:
-                await self.restart(place)
+            if entry.frozen:
+                self.wake(entry)
+            if not entry.up or failed:
+                await self.restart(entry)
         await self.settle(self.all_fresh, 60)
 
     def all_fresh(self) -> bool:
         """Whether every daemon is running and holds a lease."""
         return all(
-            place.up and place.daemon.session.fresh() for place in self.places
+            entry.up and entry.daemon.session.fresh() for entry in self.entries
         )
 
     def all_applied(self, index: int) -> bool:
         """Whether every daemon has applied the log up to an index."""
         return all(
-            place.up and place.daemon.session.view.index >= index
-            for place in self.places
+            entry.up and entry.daemon.session.view.index >= index
+            for entry in self.entries
         )
 
     async def settle(
@@ -354,16 +356,16 @@
         return list(self.engine_by_address.values())[number]
 
     def _engine_for(
-        self, place: EntryInstance, address: str
+        self, entry: EntryInstance, address: str
     ) -> targets.Engine:
         engine = self.engine_by_address[address]
-        return standins.MemoryEngine(engine, place.link_to(address))
+        return standins.MemoryEngine(engine, entry.link_to(address))
 
     def _service_for(
-        self, place: EntryInstance, address: str
+        self, entry: EntryInstance, address: str
     ) -> targets.Service:
         service = self.service_by_address[address]
-        return standins.MemoryService(service, place.link_to(address))
+        return standins.MemoryService(service, entry.link_to(address))
 
     def wall_s(self) -> float:
         """Return the wall-clock time in seconds since the epoch."""
@@ -415,7 +417,7 @@
             tries: the number of attempts before it returns None.
         """
         self._operations += 1
-        place = at or self.places[0]
+        entry = at or self.entries[0]
         put = catalogue.Put(
             catalogue.Kind(kind),
             entry_id,
@@ -425,27 +427,27 @@
             if_revision,
         )
         for _ in range(tries):
-            if not place.up:
-                place = self._any_up() or place
+            if not entry.up:
+                entry = self._any_up() or entry
             try:
                 reply = await self._in_process(
-                    place,
-                    place.daemon.leader.command(catalogue.Command(put=put)),
+                    entry,
+                    entry.daemon.leader.command(catalogue.Command(put=put)),
                 )
             except wire.ServingError:
                 await asyncio.sleep(0.2)
-                place = self._any_up() or place
+                entry = self._any_up() or entry
                 continue
             self.oracle.record_change(put, reply)
             return reply
         return None
 
     def _any_up(self) -> EntryInstance | None:
-        up = [p for p in self.places if p.up and not p.frozen]
+        up = [p for p in self.entries if p.up and not p.frozen]
         return self.rng.choice(up) if up else None
 
     async def _in_process(
-        self, place: EntryInstance, work: collections.abc.Coroutine
+        self, entry: EntryInstance, work: collections.abc.Coroutine
     ) -> object:
         """Run work inside a process, so that killing it cancels the work.
 
@@ -453,8 +455,8 @@
             wire.PeerLostError: the process was killed.
         """
         task = asyncio.create_task(work)
-        place.tasks.add(task)
-        task.add_done_callback(place.tasks.discard)
+        entry.tasks.add(task)
+        task.add_done_callback(entry.tasks.discard)
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
@@ -516,17 +518,17 @@
 
     async def _read(
         self,
-        place: EntryInstance,
+        entry: EntryInstance,
         member: str,
         request: routing.Completion,
         answer: oracle.Answer,
         leave_after: int | None,
     ) -> None:
-        place.daemon.check_accepting()
-        parts = place.daemon.entry.complete(routing.Caller(member), request)
+        entry.daemon.check_accepting()
+        parts = entry.daemon.entry.complete(routing.Caller(member), request)
         async with contextlib.aclosing(parts):
             async for part in parts:
-                await place.host.awake.wait()
+                await entry.host.awake.wait()
                 answer.parts.append(part.text)
                 answer.adapter = part.adapter
                 answer.resume = part.resume
