--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -130,7 +130,7 @@
         self._starts = 0
         self.rng = random.Random(seed)
         self.network = standins.MemoryNetwork(self.rng)
-        self.places = [
+        self.processes = [
             ReplicaProcess(number, self.rng) for number in (1, 2, 3)
         ]
         self.spec = catalogue.EngineSpec(
@@ -145,8 +145,8 @@
         self.asked = 0
 
     async def __aenter__(self) -> "ReplicaCluster":
-        for place in self.places:
-            await self.start(place, forms=True)
+        for process in self.processes:
+            await self.start(process, forms=True)
         first = await self.leader()
         pool = catalogue.RoutePool(POOL, "/health", 64, self.spec)
         table = catalogue.RouteTable(1, (), (pool,))
@@ -154,75 +154,79 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for place in self.places:
-            if place.up:
-                await self.stop(place)
+        for process in self.processes:
+            if process.up:
+                await self.stop(process)
 
-    async def start(self, place: ReplicaProcess, forms: bool = False) -> None:
+    async def start(
+        self, process: ReplicaProcess, forms: bool = False
+    ) -> None:
         """Start a replica's process."""
         instances = tuple(
             targets.Instance(target, POOL, f"10.1.0.{n}:1", "mnl-a")
             for n, target in enumerate(self.engine_by_id)
         )
         settings = growth.replica_settings(
-            place.name,
-            place.address,
+            process.name,
+            process.address,
             "mnl-a",
-            [other.address for other in self.places],
+            [other.address for other in self.processes],
             **self._settings,
         )
-        place.disk.start_again()
+        process.disk.start_again()
         self._starts += 1
-        place.replica = growth.make_replica(
+        process.replica = growth.make_replica(
             settings,
             self.network,
-            place.disk,
+            process.disk,
             FixedInstanceList(instances),
             lambda instance: RecordingEngine(
-                place.name,
+                process.name,
                 self.engine_by_id[instance.id],
                 self._holder_by_fence,
             ),
             forms,
             random.Random(f"{self._seed}/{self._starts}"),
         )
-        await place.replica.__aenter__()
+        await process.replica.__aenter__()
 
-    async def stop(self, place: ReplicaProcess) -> None:
+    async def stop(self, process: ReplicaProcess) -> None:
         """Kill a replica's process."""
-        self.network.kill(place.address)
-        place.disk.crash()
-        replica, place.replica = place.replica, None
+        self.network.kill(process.address)
+        process.disk.crash()
+        replica, process.replica = process.replica, None
         await replica.__aexit__(None, None, None)
 
     async def leader(self) -> ReplicaProcess:
         """Wait for a leader and return it."""
         for _ in range(600):
-            for place in self.places:
-                if place.leads():
-                    return place
+            for process in self.processes:
+                if process.leads():
+                    return process
             await asyncio.sleep(0.02)
         raise AssertionError("No leader was elected within 12 s.")
 
     async def ordering(self) -> tuple[ReplicaProcess, ReplicaProcess]:
         """Wait until the leader issues orders; return it and a follower."""
         first = await self.leader()
-        other = next(place for place in self.places if place is not first)
+        other = next(
+            process for process in self.processes if process is not first
+        )
         await self.ask_until_served(3.0)
         await asyncio.sleep(1.0)
         await self.ask()
         return first, other
 
-    async def move_lead(self, place: ReplicaProcess) -> None:
+    async def move_lead(self, process: ReplicaProcess) -> None:
         """Have a replica elected at once, without a fault."""
-        node = place.replica.node
+        node = process.replica.node
         for _ in range(40):
-            if place.leads():
+            if process.leads():
                 return
             request = quorum_messages.LeadRequest(node.member.id, node.term)
             await node.on_lead(request)
             await asyncio.sleep(0.05)
-        raise AssertionError(f"{place.name} was not elected.")
+        raise AssertionError(f"{process.name} was not elected.")
 
     async def ask(self, patience_s: float = 0.5) -> bool:
         """Ask the leader for a place, with an adapter that is not resident."""
@@ -230,7 +234,7 @@
 
     async def ask_at(
         self,
-        place: ReplicaProcess,
+        process: ReplicaProcess,
         patience_s: float,
         adapter: str | None = None,
     ) -> bool:
@@ -251,11 +255,11 @@
             "mnl-a",
         )
         try:
-            found = await place.replica.placer.on_place(request)
+            found = await process.replica.placer.on_place(request)
             ended = placement.EndedUse(
                 name, found.target, placement.UseOutcome.DONE
             )
-            await place.replica.placer.on_release(
+            await process.replica.placer.on_release(
                 placement.ReleaseRequest(ENTRY, (ended,))
             )
         except wire.ServingError:
@@ -360,15 +364,15 @@
     for seed in range(4):
         async with ReplicaCluster(seed, engines=1) as cluster:
             first = await cluster.leader()
-            other = next(p for p in cluster.places if p is not first)
+            other = next(p for p in cluster.processes if p is not first)
             await cluster.ask_until_served(3.0)
             await cluster.move_lead(other)
             await cluster.ask_until_served(3.0)
             await asyncio.sleep(6.0)
-            for place in cluster.places:
-                await cluster.stop(place)
-            for place in cluster.places:
-                await cluster.start(place)
+            for process in cluster.processes:
+                await cluster.stop(process)
+            for process in cluster.processes:
+                await cluster.start(process)
             await cluster.leader()
             took_s = await cluster.ask_until_served(5.0)
             if took_s is None or took_s > 1.5:
@@ -442,17 +446,17 @@
         asking = asyncio.create_task(_ask_forever(cluster, rng))
         for _ in range(12):
             await asyncio.sleep(rng.uniform(0.1, 2.0))
-            place = rng.choice(cluster.places)
+            process = rng.choice(cluster.processes)
             draw = rng.random()
             if draw < 0.6:
                 with contextlib.suppress(AssertionError):
-                    await cluster.move_lead(place)
+                    await cluster.move_lead(process)
                 continue
-            await cluster.stop(place)
+            await cluster.stop(process)
             if draw > 0.9:
-                place.disk = standins.MemoryDisk(rng)
+                process.disk = standins.MemoryDisk(rng)
             await asyncio.sleep(rng.uniform(0.05, 1.5))
-            await cluster.start(place)
+            await cluster.start(process)
             await asyncio.sleep(1.5)
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
