--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -1,7 +1,7 @@
 """Engines that restart under the same name.
 
 The placer and the fleet, which remembers the listed targets, are production
-code; the engines are the fake ones of the tests of the ledger. All run in
+code; the engines are the fakes of ``features/support/ledger.py``. All run in
 virtual time.
 """
 
@@ -97,8 +97,11 @@
     return targets.Instance(str(start), ledger.POOL, ADDRESS, "mnl-a")
 
 
-async def _serves_anew(world: RestartHarness) -> list[str]:
-    """Return what the placer kept from before an engine's restart."""
+async def _check_after_restart(world: RestartHarness) -> list[str]:
+    """Return faults if the placer fails a request or keeps old state.
+
+    Old state is what the placer recorded before the engine's restart.
+    """
     (engine,) = world.engine_by_id.values()
     await world.request("a0", 0.05, RELOAD_S)
     if not world.served:
@@ -128,7 +131,7 @@
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         await world.request("a0", 0.05)
         world.served = 0
-        faults = await _serves_anew(world)
+        faults = await _check_after_restart(world)
         (before,) = world.holdings
         world.read_list()
         world.listed_by_name["e0"] = BORN_MS + LATER_MS
@@ -146,7 +149,7 @@
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         world.listed_by_name["e0"] = BORN_MS + LATER_MS
         world.read_list()
-        return await _serves_anew(world)
+        return await _check_after_restart(world)
 
 
 async def told_by_neither() -> list[str]:
@@ -159,7 +162,7 @@
         world.engine_by_id["e0"].restart(None)
         await world.request("a0", 0.05)
         world.served = 0
-        return await _serves_anew(world)
+        return await _check_after_restart(world)
 
 
 async def told_the_same() -> list[str]:
@@ -192,7 +195,7 @@
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         await world.request("a0", 0.05)
         world.served = 0
-        return await _serves_anew(world)
+        return await _check_after_restart(world)
 
 
 SCENARIOS = {
@@ -208,7 +211,7 @@
     """Random requests while engines restart under the same names.
 
     Args:
-        tells: whether the engines and the list give start times.
+        with_start_times: whether the engines and the list give start times.
     """
     rng = random.Random(seed)
     fault_rates = ledger.FaultRates(
