--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -455,8 +455,8 @@
     session.boot = "b"
     session.silent_s.return_value = 0.0
     session.digest.target_by_id = {}
-    heard = control.TargetNotices()
-    session.takes_work = lambda info: heard.takes_work(info, 0.0)
+    notices = control.TargetNotices()
+    session.takes_work = lambda info: notices.takes_work(info, 0.0)
     session.open_targets = lambda: filter(
         session.takes_work, session.digest.target_by_id.values()
     )
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -409,7 +409,7 @@
             entry.forwarder.serve(request, fatal_world._Answer())
         )
         await asyncio.sleep(wait_s / 2)
-        notify(entry.session.heard, world.targets[0].id, loop.time())
+        notify(entry.session.notices, world.targets[0].id, loop.time())
         await asking
         reached = [arrival.target for arrival in world.reached]
         return reached, placer, loop.time() - started_at
@@ -421,7 +421,7 @@
     The request then runs at another target.
     """
     reached, placer, _ = await _run_while_placing(
-        lambda heard, target, now: heard.note_leaving(target), 0.4
+        lambda notices, target, now: notices.note_leaving(target), 0.4
     )
     faults = []
     if len(placer.granted) != 2 or reached != [placer.granted[1]]:
@@ -434,7 +434,7 @@
 async def short_pause_is_waited_out() -> list[str]:
     """A short pause is waited out rather than loading elsewhere."""
     reached, placer, took_s = await _run_while_placing(
-        lambda heard, target, now: heard.pauses(target, 0.4, now), 0.1
+        lambda notices, target, now: notices.note_pause(target, 0.4, now), 0.1
     )
     faults = []
     if set(placer.granted) != {placer.granted[0]}:
@@ -447,7 +447,7 @@
 async def long_pause_is_avoided() -> list[str]:
     """For a long pause a place at another engine is requested."""
     reached, placer, took_s = await _run_while_placing(
-        lambda heard, target, now: heard.pauses(target, 5.0, now), 0.1
+        lambda notices, target, now: notices.note_pause(target, 5.0, now), 0.1
     )
     if reached != [placer.granted[-1]] or took_s > 1.0:
         return [f"granted {placer.granted}, reached {reached}, {took_s:.2f} s"]
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -477,7 +477,7 @@
 
 def _pending_once(seen: quarantine.Observations, term: int) -> tuple:
     """Report to a new leader only what no other leader was told."""
-    seen._told_term = term
+    seen._reported_term = term
     return _original_pending(seen, term)
 
 
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -50,7 +50,7 @@
         return self
 
     def _new_start(self, target: str, start_time_ms: int) -> None:
-        self.fleet.started(target, start_time_ms)
+        self.fleet.record_restart(target, start_time_ms)
         self._publish()
 
     def read_list(self) -> None:
@@ -320,7 +320,7 @@
         elif what == "hushed list":
             fleet.update([_instance(targets.Incarnation("e0"))], 0.0)
         elif told != start:
-            fleet.started(before, BORN_MS + start)
+            fleet.record_restart(before, BORN_MS + start)
             told = start
         assert _known(fleet) == str(_start(told)), (what, history)
 
@@ -376,7 +376,11 @@
     (
         "believe the list, however old",
         "told_by_the_engine",
-        (control.Fleet, "_take", lambda fleet, _, one: _forget(fleet, one)),
+        (
+            control.Fleet,
+            "_apply_entry",
+            lambda fleet, _, one: _forget(fleet, one),
+        ),
     ),
 )
 
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -205,7 +205,7 @@
             place.disk.start_again()
         place.frozen = False
         place.link_by_address.clear()
-        outside = daemon_lib.Dependencies(
+        dependencies = daemon_lib.Dependencies(
             standins.MemoryTransport(self.network, place.address),
             lambda address: self._engine_for(place, address),
             lambda address: self._service_for(place, address),
@@ -215,7 +215,7 @@
             steps=FaultSteps(place),
             wall_s=self.wall_s,
         )
-        daemon = daemon_lib.Daemon(self.daemon_settings(place), outside)
+        daemon = daemon_lib.Daemon(self.daemon_settings(place), dependencies)
         place.host = self.network.join(place.address, daemon.server)
         place.daemon = daemon
         await daemon.__aenter__()
--- a/libs/bench/src/bergamotsail/bench/_virtual.py
+++ b/libs/bench/src/bergamotsail/bench/_virtual.py
@@ -117,7 +117,7 @@
         settings = settings_lib.parse(
             json.dumps(values | self.settings.daemon)
         )
-        external = daemon_lib.Dependencies(
+        dependencies = daemon_lib.Dependencies(
             standins.MemoryTransport(self.network, address),
             lambda at: standins.MemoryEngine(
                 self.engine_by_address[at], self._link
@@ -127,7 +127,7 @@
             disk,
             random.Random(self.rng.random()),
         )
-        daemon = daemon_lib.Daemon(settings, external)
+        daemon = daemon_lib.Daemon(settings, dependencies)
         self.network.join(address, daemon.server)
         self.daemon_by_address[address] = daemon
         await daemon.__aenter__()
--- a/libs/control/src/bergamotsail/control/__init__.py
+++ b/libs/control/src/bergamotsail/control/__init__.py
@@ -10,11 +10,11 @@
 from bergamotsail.control import _digest
 from bergamotsail.control import _fleet
 from bergamotsail.control import _floor
-from bergamotsail.control import _heard
 from bergamotsail.control import _ledger
 from bergamotsail.control import _messages
 from bergamotsail.control import _relay
 from bergamotsail.control import _session
+from bergamotsail.control import _target_notices
 from bergamotsail.control import _turns
 
 Coordinator = _coordinator.Coordinator
@@ -23,7 +23,7 @@
 DigestLog = _digest.DigestLog
 FloorRaiser = _floor.FloorRaiser
 Fleet = _fleet.Fleet
-TargetNotices = _heard.TargetNotices
+TargetNotices = _target_notices.TargetNotices
 Ledger = _ledger.Ledger
 StoreQueue = _turns.StoreQueue
 rendezvous = _fleet.rendezvous
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -67,12 +67,12 @@
         """Process a change of the known targets."""
 
     def on_new_start(
-        self, told: collections.abc.Callable[[str, int], None]
+        self, callback: collections.abc.Callable[[str, int], None]
     ) -> None:
         """Register a callback for targets that report a restart.
 
         Args:
-            told: called with the incarnation known so far, and the start
+            callback: called with the incarnation known so far, and the start
                 time that the target reports, in milliseconds of Unix time.
         """
 
@@ -123,7 +123,7 @@
     """Serves daemon sessions on a replica; an async context manager.
 
     Args:
-        use_keeper: if given, the leader grants no ownership of targets but
+        use_tracker: if given, the leader grants no ownership of targets but
             sends all orders itself, with its term as the fencing token.
     """
 
@@ -139,14 +139,14 @@
         floor: _floor.FloorRaiser | None = None,
         clock: wire.Clock = wire.LoopClock(),
         steps: wire.FaultInjector = wire.NoFaultInjector(),
-        use_keeper: UseTracker | None = None,
+        use_tracker: UseTracker | None = None,
         metrics: observe.Metrics | None = None,
     ) -> None:
         self._metrics = metrics or observe.Metrics()
         self._address = address
         self._node = node
         self._machine = machine
-        self._use_keeper = use_keeper
+        self._use_tracker = use_tracker
         self._instances = instances
         self._transport = transport
         self._timing = timing
@@ -159,8 +159,8 @@
         self._background = wire.BackgroundTasks()
 
     async def __aenter__(self) -> "Coordinator":
-        if self._use_keeper is not None:
-            self._use_keeper.on_new_start(self._record_restart)
+        if self._use_tracker is not None:
+            self._use_tracker.on_new_start(self._record_restart)
         self._background.start(self._poll_instances, self._run_leader_rounds)
         return self
 
@@ -220,8 +220,8 @@
         term.digest.put_daemon(daemon)
         self._record_statuses(term, request)
         self._record_leaving(term, request)
-        if self._use_keeper is not None:
-            self._use_keeper.take_uses(daemon.boot, request.uses)
+        if self._use_tracker is not None:
+            self._use_tracker.take_uses(daemon.boot, request.uses)
         # The applied index covers every acknowledged change, since changes
         # are applied here first. The commit index may be ahead of *effects*.
         commit = self._machine.view.index
@@ -522,7 +522,7 @@
         new = [
             target
             for target in request.leaving
-            if term.fleet.said_leaving(target)
+            if term.fleet.record_leaving(target)
         ]
         for target in new:
             observe.log_event(
@@ -625,7 +625,7 @@
     def _record_restart(self, target: str, start_time_ms: int) -> None:
         """Record a restart that the target itself reported."""
         term = self._current_term()
-        start = term.fleet.started(target, start_time_ms)
+        start = term.fleet.record_restart(target, start_time_ms)
         observe.log_event("list", "new_start", target=target, now=start)
         self._publish_fleet(term)
 
@@ -647,9 +647,9 @@
             self._put_target(term, instance, leaving)
         for target in set(term.digest.target_by_id) - known:
             term.digest.drop_target(target)
-        if self._use_keeper is not None:
+        if self._use_tracker is not None:
             infos = tuple(term.digest.target_by_id.values())
-            self._use_keeper.targets_changed(infos)
+            self._use_tracker.targets_changed(infos)
 
     async def _run_leader_rounds(self) -> None:
         while True:
@@ -662,7 +662,7 @@
         self._end_sessions(term)
         await self._update_share_notes(term)
         await term.quarantine.tend()
-        if self._use_keeper is None:
+        if self._use_tracker is None:
             await self._assign_targets(term)
         await self._raise_floor()
 
@@ -705,8 +705,8 @@
                 self._lapse_shares(term, session)
                 del term.session_by_boot[boot]
                 term.digest.drop_daemon(boot)
-                if self._use_keeper is not None:
-                    self._use_keeper.drop_uses(boot)
+                if self._use_tracker is not None:
+                    self._use_tracker.drop_uses(boot)
                 logging.info("control: Session of %s ended.", boot)
 
     def _lapse_shares(self, term: _Term, session: _Session) -> None:
--- a/libs/control/src/bergamotsail/control/_fleet.py
+++ b/libs/control/src/bergamotsail/control/_fleet.py
@@ -20,7 +20,7 @@
             unknown. It may be missing from the id of the instance if it was
             learned later.
         missing_since: when it disappeared from the list.
-        said_leaving: it reported itself that it is leaving; the list may
+        reported_leaving: it reported itself that it is leaving; the list may
             show that later.
     """
 
@@ -28,7 +28,7 @@
     leaving: bool
     start_time_ms: int | None
     missing_since: float | None = None
-    said_leaving: bool = False
+    reported_leaving: bool = False
 
 
 class Fleet:
@@ -52,7 +52,7 @@
         known = _TrackedTarget(instance, leaving, start.start_time_ms)
         self._tracked_by_name[start.name] = known
 
-    def started(self, target: str, start_time_ms: int) -> str:
+    def record_restart(self, target: str, start_time_ms: int) -> str:
         """Record a restart that a target reported itself.
 
         Args:
@@ -71,10 +71,10 @@
                 known.instance, name, start_time_ms
             )
             known.start_time_ms = start_time_ms
-            known.said_leaving = False
+            known.reported_leaving = False
         return known.instance.id
 
-    def said_leaving(self, target: str) -> bool:
+    def record_leaving(self, target: str) -> bool:
         """Record that a target reported itself as leaving.
 
         Args:
@@ -87,8 +87,8 @@
         known = self._tracked_by_name.get(name)
         if known is None or known.instance.id != target:
             return False
-        is_new = not known.said_leaving
-        known.said_leaving = True
+        is_new = not known.reported_leaving
+        known.reported_leaving = True
         return is_new
 
     def update(
@@ -101,7 +101,7 @@
         for instance in instances:
             start = targets.Incarnation.of(instance.id)
             listed.add(start.name)
-            self._take(start, instance)
+            self._apply_entry(start, instance)
         for name, known in list(self._tracked_by_name.items()):
             if name in listed:
                 continue
@@ -111,7 +111,7 @@
             if now - known.missing_since > REMOVE_AFTER_S:
                 del self._tracked_by_name[name]
 
-    def _take(
+    def _apply_entry(
         self, start: targets.Incarnation, instance: targets.Instance
     ) -> None:
         """Apply one entry of the instance list."""
@@ -132,15 +132,15 @@
             instance = dataclasses.replace(instance, id=known.instance.id)
         start_time_ms = known_ms if listed_ms is None else listed_ms
         same = instance.id == known.instance.id
-        was_leaving = known.said_leaving and same
+        was_leaving = known.reported_leaving and same
         self._tracked_by_name[start.name] = _TrackedTarget(
-            instance, leaving, start_time_ms, said_leaving=was_leaving
+            instance, leaving, start_time_ms, reported_leaving=was_leaving
         )
 
     def all(self) -> list[tuple[targets.Instance, bool]]:
         """Return each target and whether it is leaving."""
         return [
-            (known.instance, known.leaving or known.said_leaving)
+            (known.instance, known.leaving or known.reported_leaving)
             for known in self._tracked_by_name.values()
         ]
 
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -11,8 +11,8 @@
 
 from bergamotsail import catalogue
 from bergamotsail.control import _digest
-from bergamotsail.control import _heard
 from bergamotsail.control import _messages
+from bergamotsail.control import _target_notices
 from bergamotsail import quarantine
 from bergamotsail import quorum
 from bergamotsail import wire
@@ -257,7 +257,7 @@
         self.digest = _digest.Digest()
         self.leader = leader
         self.ends = quarantine.Observations(clock)
-        self.heard = _heard.TargetNotices()
+        self.notices = _target_notices.TargetNotices()
         self._transport = transport
         self._timing = timing
         self._node = node
@@ -360,11 +360,11 @@
 
     def takes_work(self, target: _messages.TargetInfo) -> bool:
         """Whether new work may be sent to a target now."""
-        return self.heard.takes_work(target, self._clock.now())
+        return self.notices.takes_work(target, self._clock.now())
 
-    def untold_leaving(self) -> tuple[str, ...]:
+    def unreported_leaving(self) -> tuple[str, ...]:
         """Return leaving targets that the leader doesn't know as such."""
-        return self.heard.unreported(self.digest.target_by_id)
+        return self.notices.unreported(self.digest.target_by_id)
 
     def open_targets(
         self,
@@ -439,7 +439,7 @@
             self.digest.version,
             uses=self._participant.uses(),
             ends=ends,
-            leaving=self.untold_leaving(),
+            leaving=self.unreported_leaving(),
             runs_last_s=self._participant.declare_run_bound(),
         )
         await self._steps.reach(wire.Step.HEARTBEAT, wire.Phase.BEFORE)
@@ -448,7 +448,7 @@
         answered_at = self._clock.now()
         self.leader.found(reply.leader)
         self.leader.learn(reply.replicas)
-        self.ends.told(reply.term, last_end)
+        self.ends.acknowledge(reply.term, last_end)
         self.ends.take_suspects(reply.suspects)
         if await self._catch_up(reply):
             self._log_renewal(sent_at, answered_at)
--- a/libs/control/src/bergamotsail/control/_heard.py
+++ b/libs/control/src/bergamotsail/control/_target_notices.py
@@ -38,7 +38,7 @@
         _evict_oldest(self._leaving)
         return is_new
 
-    def pauses(self, target: str, pause_s: float, now: float) -> float:
+    def note_pause(self, target: str, pause_s: float, now: float) -> float:
         """Record that a target asked for no new work for a while.
 
         Returns:
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -273,7 +273,7 @@
             settings.lease,
             list_interval_s,
             clock=clock,
-            use_keeper=self.placer,
+            use_tracker=self.placer,
             metrics=self.metrics,
         )
         self.node.serve(self.server)
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -414,9 +414,9 @@
         self._schedule_soon()
 
     def on_new_start(
-        self, told: collections.abc.Callable[[str, int], None]
+        self, callback: collections.abc.Callable[[str, int], None]
     ) -> None:
-        self._new_start = told
+        self._new_start = callback
 
     def _report_new_start(self, target: str, start_time_ms: int) -> None:
         if self._new_start is not None:
--- a/libs/quarantine/src/bergamotsail/quarantine/_observations.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_observations.py
@@ -73,7 +73,7 @@
             collections.deque(maxlen=MAX_BUFFERED)
         )
         self._number = 0
-        self._told_term = -1
+        self._reported_term = -1
         self._acknowledged_number = 0
         self._lost_locally: set[str] = set()
         self._leader_suspects: frozenset[str] = frozenset()
@@ -131,11 +131,11 @@
     def pending(self, term: int) -> tuple[int, tuple[Observation, ...]]:
         """Return the last number and the observations to report to a leader.
 
-        The number is for :meth:`told` once the leader has replied.
+        The number is for :meth:`acknowledge` once the leader has replied.
         """
         self._drop_expired()
-        if term != self._told_term:
-            self._told_term, self._acknowledged_number = term, 0
+        if term != self._reported_term:
+            self._reported_term, self._acknowledged_number = term, 0
         now = self._clock.now()
         new = [
             seen
@@ -146,9 +146,9 @@
         last = batch[-1].number if batch else self._acknowledged_number
         return last, tuple(_observation(seen, now) for seen in batch)
 
-    def told(self, term: int, number: int) -> None:
+    def acknowledge(self, term: int, number: int) -> None:
         """Mark observations up to a number as received by the leader."""
-        if term == self._told_term:
+        if term == self._reported_term:
             self._acknowledged_number = number
 
     def _drop_expired(self) -> None:
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -362,11 +362,11 @@
     def _remaining_pauses_s(self, attempt: _Attempt) -> list[float]:
         """Return the remaining pause of each target that is not leaving."""
         now = self._clock.now()
-        heard = self._session.heard
+        notices = self._session.notices
         return [
-            heard.pause_left_s(info.id, now)
+            notices.pause_left_s(info.id, now)
             for info in self._session.digest.target_by_id.values()
-            if info.pool == attempt.pool.name and not heard.is_gone(info)
+            if info.pool == attempt.pool.name and not notices.is_gone(info)
         ]
 
     def _all_paused(self, attempt: _Attempt) -> bool:
@@ -421,8 +421,8 @@
         attempt.places += 1
         # The leader, which grants placements, does not know about these.
         closed = (
-            *self._session.untold_leaving(),
-            *self._session.heard.paused(SHORT_PAUSE_S, self._clock.now()),
+            *self._session.unreported_leaving(),
+            *self._session.notices.paused(SHORT_PAUSE_S, self._clock.now()),
         )
         place = await self._places.take(
             placement.PlaceRequest(
@@ -483,8 +483,8 @@
             _NotAcceptingError: the target accepts no work.
         """
         now = self._clock.now()
-        leaving = self._session.heard.is_leaving(target)
-        pause_s = self._session.heard.pause_left_s(target, now)
+        leaving = self._session.notices.is_leaving(target)
+        pause_s = self._session.notices.pause_left_s(target, now)
         if not leaving and pause_s == 0.0:
             return
         observe.log_event(
@@ -501,12 +501,12 @@
 
     async def _wait_for_engine(self, attempt: _Attempt, target: str) -> None:
         """Wait out a short pause of an engine, else avoid the engine."""
-        heard = self._session.heard
-        pause_s = heard.pause_left_s(target, self._clock.now())
+        notices = self._session.notices
+        pause_s = notices.pause_left_s(target, self._clock.now())
         short = pause_s <= min(
             SHORT_PAUSE_S, self._placement_patience_s(attempt)
         )
-        if heard.is_leaving(target) or not short:
+        if notices.is_leaving(target) or not short:
             attempt.avoid.add(target)
             return
         await self._wait_for_pause_end(attempt, pause_s)
@@ -693,14 +693,16 @@
                 )
         if not reading.own:
             return
-        heard, now = self._session.heard, self._clock.now()
-        if reading.leaving.is_set and heard.note_leaving(attempt.target):
+        notices, now = self._session.notices, self._clock.now()
+        if reading.leaving.is_set and notices.note_leaving(attempt.target):
             self._metrics.count("targets_heard_leaving")
             self._log_announcement(attempt, "leaving", None)
             # Tell the other daemons before they hear it from the target.
             self._session.kick()
         if reading.pause.value is not None:
-            until = heard.pauses(attempt.target, reading.pause.value, now)
+            until = notices.note_pause(
+                attempt.target, reading.pause.value, now
+            )
             self._metrics.count("targets_heard_pausing")
             self._log_announcement(attempt, "pause", until - now)
 
