--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -435,7 +435,7 @@
         """Record the shares that a daemon declares.
 
         Until its declaration covers the grants of earlier leaders, it counts
-        as holding at least what the log notes for it.
+        as holding at least its bounds in the log.
         """
         boot = request.daemon.boot
         self._free_former_boots(term, request.daemon)
@@ -486,10 +486,11 @@
         request: _messages.Heartbeat,
         share_by_key: dict[str, int],
     ) -> dict[str, int]:
-        """Cap shares at what the replicated log notes for the daemon.
+        """Cap shares at the bounds that the log has for the daemon.
 
-        Amounts are noted for concurrency only: a share of a rate is not
-        used beyond the lease. It may grow for any daemon in the log.
+        The log has bounds for concurrency only, since a share of a rate is
+        not used beyond the lease. A daemon without bounds in the log may
+        still keep the rate shares that it declared.
         """
         boot = request.daemon.boot
         allowed = {}
@@ -518,7 +519,7 @@
     def _record_leaving(
         self, term: _Term, request: _messages.Heartbeat
     ) -> None:
-        """Mark targets as leaving that told a daemon so, before the list."""
+        """Mark targets as leaving that reported so to a daemon."""
         new = [
             target
             for target in request.leaving
@@ -576,7 +577,7 @@
                 continue
             share = term.ledger.grant(key, boot, limit, may_raise)
             if boot in term.undeclared:
-                # The noted amount is rounded up, so it can't be a share.
+                # The bound in the log is rounded up, so it can't be a share.
                 share = min(share, request.held_by_key.get(key, 0))
             shares[key] = share
         return shares
@@ -677,7 +678,7 @@
             await self._propose(catalogue.Command(raise_floor=raised))
 
     async def _update_share_notes(self, term: _Term) -> None:
-        """Free shares of silent daemons and update the notes in the log."""
+        """Free ended shares and update the bounds in the log."""
         now = self._clock.now()
         for boot, until in list(term.lapsed_until_by_boot.items()):
             if now > until:
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -92,10 +92,11 @@
     def _acquire_or_blocker(
         self, boot: str, identity: str
     ) -> _ExclusiveRun | None:
-        """Return the running copy to wait for.
+        """Start this copy, or return the running copy to wait for.
 
         Returns:
-            None when this copy may run; it is then the running one.
+            None when there is nothing to wait for: the request is not
+            suspected, is quarantined, or this copy is now the running one.
         """
         if self._counter.ends(identity) == 0 or self._is_held(identity):
             return None
@@ -111,9 +112,10 @@
         return entry is not None and entry.value.held
 
     def _end_exclusive(self, boot: str, identity: str) -> None:
-        """End the exclusive execution of a request by this daemon.
+        """End the exclusive execution of a request if this daemon holds it.
 
-        It ends for every daemon once the request has been served.
+        When the request has no counted losses any more, since it was served
+        or quarantined, it ends whichever daemon holds it.
         """
         exclusive = self._exclusive_by_identity.get(identity)
         if exclusive is None:
@@ -255,7 +257,7 @@
 def hold_s(ends: int) -> float:
     """Return the quarantine of a request that crashed so many targets.
 
-    Example: 900 s after 3 ends, 1,800 s after 4, a day at most.
+    Example: 900 s after 3 crashes, 1,800 s after 4, a day at most.
     """
     further = max(ends - quarantine.MAX_ENDS, 0)
     return min(HOLD_S * 2.0**further, MAX_HOLD_S)
--- a/libs/control/src/bergamotsail/control/_share_notes.py
+++ b/libs/control/src/bergamotsail/control/_share_notes.py
@@ -31,7 +31,7 @@
     """Maintains the bounds of shares in the log during one term.
 
     Args:
-        noted: returns the committed bounds, by boot.
+        committed: returns the committed bounds, by boot.
         propose: commits a command.
     """
 
--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -113,7 +113,7 @@
     the same.
 
     Example: a request that was lost at ``e1``, retried and lost at ``e2``
-    counts two ends, and none after it got a complete response.
+    has two ends, and none after it got a complete response.
     """
 
     def __init__(self) -> None:
@@ -146,7 +146,7 @@
         return suspect
 
     def ends(self, identity: str) -> int:
-        """Return how many targets a request lost since it was served."""
+        """Return the separate losses of a request since it was served."""
         suspect = self._find(identity)
         return 0 if suspect is None else suspect.ends
 
--- a/libs/targets/src/bergamotsail/targets/_header_values.py
+++ b/libs/targets/src/bergamotsail/targets/_header_values.py
@@ -12,7 +12,7 @@
     """A parsed flag.
 
     Args:
-        unread: an invalid value, if there was one.
+        invalid_value: an invalid value, if there was one.
     """
 
     is_set: bool = False
@@ -25,7 +25,7 @@
 
     Args:
         value: duration in seconds, None without a valid value.
-        unread: an invalid value, if there was one.
+        invalid_value: an invalid value, if there was one.
     """
 
     value: float | None = None
