--- a/features/support/world.py
+++ b/features/support/world.py
@@ -207,7 +207,7 @@
             entry.disk.start_again()
         entry.frozen = False
         entry.link_by_address.clear()
-        outside = daemon_lib.Dependencies(
+        dependencies = daemon_lib.Dependencies(
             standins.MemoryTransport(self.network, entry.address),
             lambda address: self._engine_for(entry, address),
             lambda address: self._service_for(entry, address),
@@ -217,7 +217,7 @@
             steps=ScheduledFaultInjector(entry),
             wall_s=self.wall_s,
         )
-        daemon = daemon_lib.Daemon(self.daemon_settings(entry), outside)
+        daemon = daemon_lib.Daemon(self.daemon_settings(entry), dependencies)
         entry.host = self.network.join(entry.address, daemon.server)
         entry.daemon = daemon
         await daemon.__aenter__()
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -67,12 +67,12 @@
         """Process a change of the known targets."""
 
     def on_new_start(
-        self, told: collections.abc.Callable[[str, int], None]
+        self, callback: collections.abc.Callable[[str, int], None]
     ) -> None:
         """Register a callback for targets that report a restart.
 
         Args:
-            told: called with the incarnation known so far, and the start
+            callback: called with the incarnation known so far, and the start
                 time that the target reports, in milliseconds of Unix time.
         """
 
@@ -123,7 +123,7 @@
     """Serves daemon sessions on a replica; an async context manager.
 
     Args:
-        use_keeper: if given, the leader grants no ownership of targets but
+        use_tracker: if given, the leader grants no ownership of targets but
             sends all orders itself, with its term as the fencing token.
     """
 
@@ -139,14 +139,14 @@
         floor: _floor.FloorRaiser | None = None,
         clock: wire.Clock = wire.LoopClock(),
         steps: wire.FaultInjector = wire.NoFaultInjector(),
-        use_keeper: UseTracker | None = None,
+        use_tracker: UseTracker | None = None,
         metrics: observe.Metrics | None = None,
     ) -> None:
         self._metrics = metrics or observe.Metrics()
         self._address = address
         self._node = node
         self._machine = machine
-        self._use_keeper = use_keeper
+        self._use_tracker = use_tracker
         self._instances = instances
         self._transport = transport
         self._timing = timing
@@ -159,8 +159,8 @@
         self._background = wire.BackgroundTasks()
 
     async def __aenter__(self) -> "Coordinator":
-        if self._use_keeper is not None:
-            self._use_keeper.on_new_start(self._record_restart)
+        if self._use_tracker is not None:
+            self._use_tracker.on_new_start(self._record_restart)
         self._background.start(self._poll_instances, self._run_leader_rounds)
         return self
 
@@ -220,8 +220,8 @@
         term.digest.put_daemon(daemon)
         self._record_statuses(term, request)
         self._record_leaving(term, request)
-        if self._use_keeper is not None:
-            self._use_keeper.take_uses(daemon.boot, request.uses)
+        if self._use_tracker is not None:
+            self._use_tracker.take_uses(daemon.boot, request.uses)
         # The applied index covers every acknowledged change, since changes
         # are applied here first. The commit index may be ahead of *effects*.
         commit = self._machine.view.index
@@ -435,7 +435,7 @@
         """Record the shares that a daemon declares.
 
         Until its declaration covers the grants of earlier leaders, it counts
-        as holding at least what the log notes for it.
+        as holding at least its bounds in the log.
         """
         boot = request.daemon.boot
         self._free_former_boots(term, request.daemon)
@@ -486,10 +486,11 @@
         request: _messages.Heartbeat,
         share_by_key: dict[str, int],
     ) -> dict[str, int]:
-        """Cap shares at what the replicated log notes for the daemon.
+        """Cap shares at the bounds that the log has for the daemon.
 
-        Amounts are noted for concurrency only: a share of a rate is not
-        used beyond the lease. It may grow for any daemon in the log.
+        The log has bounds for concurrency only, since a share of a rate is
+        not used beyond the lease. A daemon without bounds in the log may
+        still keep the rate shares that it declared.
         """
         boot = request.daemon.boot
         allowed = {}
@@ -518,11 +519,11 @@
     def _record_leaving(
         self, term: _Term, request: _messages.Heartbeat
     ) -> None:
-        """Mark targets as leaving that told a daemon so, before the list."""
+        """Mark targets as leaving that reported so to a daemon."""
         new = [
             target
             for target in request.leaving
-            if term.fleet.said_leaving(target)
+            if term.fleet.record_leaving(target)
         ]
         for target in new:
             observe.log_event(
@@ -576,7 +577,7 @@
                 continue
             share = term.ledger.grant(key, boot, limit, may_raise)
             if boot in term.undeclared:
-                # The noted amount is rounded up, so it can't be a share.
+                # The bound in the log is rounded up, so it can't be a share.
                 share = min(share, request.held_by_key.get(key, 0))
             shares[key] = share
         return shares
@@ -625,7 +626,7 @@
     def _record_restart(self, target: str, start_time_ms: int) -> None:
         """Record a restart that the target itself reported."""
         term = self._current_term()
-        start = term.fleet.started(target, start_time_ms)
+        start = term.fleet.record_restart(target, start_time_ms)
         observe.log_event("list", "new_start", target=target, now=start)
         self._publish_fleet(term)
 
@@ -647,9 +648,9 @@
             self._put_target(term, instance, leaving)
         for target in set(term.digest.target_by_id) - known:
             term.digest.drop_target(target)
-        if self._use_keeper is not None:
+        if self._use_tracker is not None:
             infos = tuple(term.digest.target_by_id.values())
-            self._use_keeper.targets_changed(infos)
+            self._use_tracker.targets_changed(infos)
 
     async def _run_leader_rounds(self) -> None:
         while True:
@@ -662,7 +663,7 @@
         self._end_sessions(term)
         await self._update_share_notes(term)
         await term.quarantine.tend()
-        if self._use_keeper is None:
+        if self._use_tracker is None:
             await self._assign_targets(term)
         await self._raise_floor()
 
@@ -677,7 +678,7 @@
             await self._propose(catalogue.Command(raise_floor=raised))
 
     async def _update_share_notes(self, term: _Term) -> None:
-        """Free shares of silent daemons and update the notes in the log."""
+        """Free ended shares and update the bounds in the log."""
         now = self._clock.now()
         for boot, until in list(term.lapsed_until_by_boot.items()):
             if now > until:
@@ -705,8 +706,8 @@
                 self._lapse_shares(term, session)
                 del term.session_by_boot[boot]
                 term.digest.drop_daemon(boot)
-                if self._use_keeper is not None:
-                    self._use_keeper.drop_uses(boot)
+                if self._use_tracker is not None:
+                    self._use_tracker.drop_uses(boot)
                 logging.info("control: Session of %s ended.", boot)
 
     def _lapse_shares(self, term: _Term, session: _Session) -> None:
