--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -251,9 +251,9 @@
             )
             for n in range(count)
         }
-        for holding in self.by_id.values():
-            holding.known = True
-            holding.models = {MODEL}
+        for record in self.by_id.values():
+            record.known = True
+            record.models = {MODEL}
         self.policy = _place_policy.CopyAffinityPolicy()
         self.decider = _decisions.Decider(
             self.by_id, self.policy, settings, lambda *_: True
@@ -266,7 +266,7 @@
         self.by_id[target].slot_by_name[(MODEL, adapter)] = slot
         self.by_id[target].remember_copy((MODEL, adapter))
 
-    def wish(
+    def demand(
         self, adapter: str, tokens: int = 3_000
     ) -> _place_policy.PlacementDemand:
         """Return the placement wish of a request."""
@@ -277,9 +277,9 @@
     def decide(
         self, adapter: str, wanted: tuple[str, ...] = ()
     ) -> _decisions.Decision:
-        """Decide for a request; add a run to the holding of its engine."""
+        """Decide for a request; add a run to the record of its engine."""
         names = {(MODEL, name) for name in (adapter, *wanted)}
-        decision = self.decider.decide(self.wish(adapter), names, self.now)
+        decision = self.decider.decide(self.demand(adapter), names, self.now)
         if isinstance(decision, _decisions.Run):
             self._number += 1
             grant = _holding.Grant(
@@ -298,8 +298,8 @@
     """
     engines = Engines(4, _place_settings.PlaceSettings(spread=spread))
     engines.hold("e0", "a1")
-    for holding in engines.by_id.values():
-        holding.remember_copy((MODEL, "a1"))
+    for record in engines.by_id.values():
+        record.remember_copy((MODEL, "a1"))
     longest_s = 0.0
     for _ in range(12):
         before = engines.by_id["e0"].reading.backlog_s(engines.now)
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -621,8 +621,8 @@
         ]
         await asyncio.sleep(0.5)
         for orders in harness.placer._orders_by_target.values():
-            if orders.holding.slot_by_name:
-                orders.holding.remember_copy((MODEL, "a2"))
+            if orders.record.slot_by_name:
+                orders.record.remember_copy((MODEL, "a2"))
         before = asyncio.get_running_loop().time()
         await harness.request("a2", 0.0)
         took_s = asyncio.get_running_loop().time() - before
@@ -658,8 +658,8 @@
             f"{target} still counts: {summary}"
             for target, orders in harness.placer._orders_by_target.items()
             if "running=0 tokens=0 used=0"
-            not in (summary := orders.holding.summary(now))
-            or orders.holding.reading.backlog_s(now) > 0.0
+            not in (summary := orders.record.summary(now))
+            or orders.record.reading.backlog_s(now) > 0.0
         ]
 
 
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -80,10 +80,10 @@
         )
 
     @property
-    def holdings(self) -> list[placement.EngineRecord]:
+    def records(self) -> list[placement.EngineRecord]:
         """What the placer has recorded of each engine."""
         orders = self.placer._orders_by_target.values()
-        return [each.holding for each in orders]
+        return [each.record for each in orders]
 
     async def fill(self, adapters: int = 3) -> None:
         """Load adapters, and place one request that is never released."""
@@ -103,19 +103,19 @@
     await world.request("a0", 0.05, RELOAD_S)
     if not world.served:
         return ["The request was refused, or its adapter was not loaded."]
-    (holding,) = world.holdings
+    (record,) = world.records
     faults = []
-    if holding.running:
+    if record.running:
         faults.append(
-            f"{holding.running} requests from before the restart "
+            f"{record.running} requests from before the restart "
             "are still counted."
         )
-    if holding.sequence != engine.sequence:
+    if record.sequence != engine.sequence:
         faults.append(
-            f"The ledger counts {holding.sequence} orders, the engine "
+            f"The ledger counts {record.sequence} orders, the engine "
             f"{engine.sequence}."
         )
-    if holding.has_copy((ledger.MODEL, "a1")):
+    if record.has_copy((ledger.MODEL, "a1")):
         faults.append("A copy from before the restart is still recorded.")
     return faults
 
@@ -129,11 +129,11 @@
         await world.request("a0", 0.05)
         world.served = 0
         faults = await _serves_anew(world)
-        (before,) = world.holdings
+        (before,) = world.records
         world.read_list()
         world.listed_by_name["e0"] = BORN_MS + LATER_MS
         world.read_list()
-        if world.holdings != [before]:
+        if world.records != [before]:
             faults.append("The lagging list discarded the new ledger.")
         return faults
 
@@ -166,12 +166,12 @@
     """A start that is listed again, or not listed, discards no ledger."""
     async with RestartHarness(1) as world:
         await world.fill()
-        before = world.holdings
+        before = world.records
         for told in (BORN_MS, None, BORN_MS):
             world.listed_by_name["e0"] = told
             world.read_list()
             await asyncio.sleep(1.0)
-        if world.holdings != before:
+        if world.records != before:
             return ["The ledger of an unchanged start was discarded."]
         return []
 
@@ -183,11 +183,11 @@
         world.listed_by_name["e0"] = None
         world.read_list()
         await world.fill()
-        before = world.holdings
+        before = world.records
         world.listed_by_name["e0"] = BORN_MS
         world.read_list()
         await asyncio.sleep(1.0)
-        if world.holdings != before:
+        if world.records != before:
             return ["A start time that was listed late discarded the ledger."]
         world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
         await world.request("a0", 0.05)
@@ -244,7 +244,7 @@
                 f"Only {world.served - served} of 8 requests were served "
                 "after the faults ended."
             )
-        running = [holding.running for holding in world.holdings]
+        running = [record.running for record in world.records]
         if any(running):
             faults.append(f"Ended requests are still counted: {running}.")
         return faults
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -69,21 +69,21 @@
     """Decides for one request at a time.
 
     Args:
-        holding_by_target: the records of all engines, which may change
+        record_by_target: the records of all engines, which may change
             between decisions.
         is_current: whether requests may start on the version in a slot.
     """
 
     def __init__(
         self,
-        holding_by_target: collections.abc.Mapping[str, EngineRecord],
+        record_by_target: collections.abc.Mapping[str, EngineRecord],
         policy: _place_policy.PlacePolicy,
         settings: _place_settings.PlaceSettings,
         is_current: collections.abc.Callable[
             [_holding.AdapterName, _holding.Slot, float], bool
         ],
     ) -> None:
-        self._holding_by_target = holding_by_target
+        self._record_by_target = record_by_target
         self._policy = policy
         self._settings = settings
         self._is_current = is_current
@@ -91,7 +91,7 @@
 
     def decide(
         self,
-        wish: PlacementDemand,
+        demand: PlacementDemand,
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
         may_load: bool = True,
@@ -102,20 +102,20 @@
             wanted: adapters that other requests wait for; not evicted.
             may_load: whether load orders are allowed now.
         """
-        if not wish.name[1]:
-            return self._run_anywhere(wish, now)
+        if not demand.name[1]:
+            return self._run_anywhere(demand, now)
         resident = [
-            (holding, slot)
-            for holding in self._holding_by_target.values()
-            if (slot := holding.slot_by_name.get(wish.name)) is not None
-            and holding.can_take(wish)
+            (record, slot)
+            for record in self._record_by_target.values()
+            if (slot := record.slot_by_name.get(demand.name)) is not None
+            and record.can_take(demand)
         ]
         best = min(
             (
-                (self._policy.run_cost_s(holding, wish, now), number, holding)
-                for number, (holding, slot) in enumerate(resident)
+                (self._policy.run_cost_s(record, demand, now), number, record)
+                for number, (record, slot) in enumerate(resident)
                 if slot.state is State.READY
-                and self._is_current(wish.name, slot, now)
+                and self._is_current(demand.name, slot, now)
             ),
             default=None,
         )
@@ -124,25 +124,25 @@
                 return Wait(True)
             if not may_load:
                 return Wait(False)
-            return self._load(wish, wanted, now, float("inf")) or Wait(False)
+            return self._load(demand, wanted, now, float("inf")) or Wait(False)
         cost_s, _, there = best
         if may_load and self._settings.spread and cost_s > MIN_SPREAD_COST_S:
             further = self._additional_copy(
-                wish, resident, wanted, now, cost_s
+                demand, resident, wanted, now, cost_s
             )
             if further is not None:
                 return further
         return Run(there.info.id)
 
-    def _run_anywhere(self, wish: PlacementDemand, now: float) -> Decision:
+    def _run_anywhere(self, demand: PlacementDemand, now: float) -> Decision:
         """Decide for a request to the base model, which needs no adapter."""
         best = min(
             (
-                (self._policy.run_cost_s(holding, wish, now), number, holding)
-                for number, holding in enumerate(
-                    self._least_loaded_first(wish, now)
+                (self._policy.run_cost_s(record, demand, now), number, record)
+                for number, record in enumerate(
+                    self._least_loaded_first(demand, now)
                 )
-                if holding.can_take(wish)
+                if record.can_take(demand)
             ),
             default=None,
         )
@@ -150,7 +150,7 @@
 
     def _additional_copy(
         self,
-        wish: PlacementDemand,
+        demand: PlacementDemand,
         resident: list[tuple[EngineRecord, _holding.Slot]],
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
@@ -163,23 +163,23 @@
         """
         limit_s = cost_s - MIN_SPREAD_GAIN_S
         loading = [
-            (holding, slot)
-            for holding, slot in resident
+            (record, slot)
+            for record, slot in resident
             if slot.state is State.LOADING
             and now <= slot.ready_at + MAX_LOAD_OVERDUE_S
         ]
-        for holding, slot in loading:
+        for record, slot in loading:
             left_s = max(0.0, slot.ready_at - now)
-            there_s = self._policy.run_cost_s(holding, wish, now)
+            there_s = self._policy.run_cost_s(record, demand, now)
             if left_s + there_s < limit_s:
                 return Wait(True)
         if loading:
             return None
-        return self._load(wish, wanted, now, limit_s)
+        return self._load(demand, wanted, now, limit_s)
 
     def _load(
         self,
-        wish: PlacementDemand,
+        demand: PlacementDemand,
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
         limit_s: float,
@@ -191,62 +191,64 @@
         """
         best: tuple[float, int, EngineRecord] | None = None
         best_slot: tuple[_holding.AdapterName | None] | None = None
-        for number, holding in enumerate(self._load_candidates(wish, now)):
-            if wish.name in holding.slot_by_name or not holding.can_take(wish):
+        for number, record in enumerate(self._load_candidates(demand, now)):
+            if demand.name in record.slot_by_name or not record.can_take(
+                demand
+            ):
                 continue
-            room = self._find_slot(holding, wanted, now)
+            room = self._find_slot(record, wanted, now)
             cost_s = self._policy.load_cost_s(
-                holding, wish, now, room is not None
+                record, demand, now, room is not None
             )
             if best is None or (cost_s, number) < best[:2]:
-                best, best_slot = (cost_s, number, holding), room
+                best, best_slot = (cost_s, number, record), room
         if best is None or best_slot is None or best[0] > limit_s:
             return None
         return Load(best[2].info.id, best_slot[0])
 
     def _load_candidates(
-        self, wish: PlacementDemand, now: float
+        self, demand: PlacementDemand, now: float
     ) -> collections.abc.Iterator[EngineRecord]:
         """Yield the least loaded engines and those with a copy."""
-        ordered = self._least_loaded_first(wish, now)
+        ordered = self._least_loaded_first(demand, now)
         near = ordered[:MAX_LOAD_CANDIDATES]
         yield from near
-        for holding in ordered[MAX_LOAD_CANDIDATES:]:
-            if holding.has_copy(wish.name):
-                yield holding
+        for record in ordered[MAX_LOAD_CANDIDATES:]:
+            if record.has_copy(demand.name):
+                yield record
 
     def _least_loaded_first(
-        self, wish: PlacementDemand, now: float
+        self, demand: PlacementDemand, now: float
     ) -> list[EngineRecord]:
         """Return a pool's engines, the least loaded first.
 
         The order may be MAX_SORT_AGE_S old. A pool is not sorted if it has
         at most MAX_LOAD_CANDIDATES engines.
         """
-        at, ordered = self._sorted_by_pool.get(wish.pool, (0.0, []))
-        there = self._holding_by_target
+        at, ordered = self._sorted_by_pool.get(demand.pool, (0.0, []))
+        there = self._record_by_target
         if ordered and now - at <= MAX_SORT_AGE_S:
             if all(there.get(h.info.id) is h for h in ordered):
                 return ordered
         ordered = [
-            holding
-            for holding in self._holding_by_target.values()
-            if holding.info.pool == wish.pool
+            record
+            for record in self._record_by_target.values()
+            if record.info.pool == demand.pool
         ]
         if len(ordered) > MAX_LOAD_CANDIDATES:
-            ordered.sort(key=lambda holding: self._load_of(holding, now))
-        self._sorted_by_pool[wish.pool] = (now, ordered)
+            ordered.sort(key=lambda record: self._load_of(record, now))
+        self._sorted_by_pool[demand.pool] = (now, ordered)
         return ordered
 
-    def _load_of(self, holding: EngineRecord, now: float) -> float:
+    def _load_of(self, record: EngineRecord, now: float) -> float:
         """Return the load of an engine, infinite if it accepts no loads."""
-        if not holding.may_load:
+        if not record.may_load:
             return float("inf")
-        return self._policy.busy_cost_s(holding, now)
+        return self._policy.busy_cost_s(record, now)
 
     def _find_slot(
         self,
-        holding: EngineRecord,
+        record: EngineRecord,
         wanted: collections.abc.Container[_holding.AdapterName],
         now: float,
     ) -> tuple[_holding.AdapterName | None] | None:
@@ -254,13 +256,13 @@
 
         ``(None,)`` if a slot is free, None if no load can start now.
         """
-        if not holding.may_load or holding.in_transit() >= MAX_IN_TRANSIT:
+        if not record.may_load or record.in_transit() >= MAX_IN_TRANSIT:
             return None
-        if len(holding.slot_by_name) < holding.capacity:
+        if len(record.slot_by_name) < record.capacity:
             return (None,)
         idle = [
             (slot.used_at, name)
-            for name, slot in holding.slot_by_name.items()
-            if holding.is_idle(slot, now) and name not in wanted
+            for name, slot in record.slot_by_name.items()
+            if record.is_idle(slot, now) and name not in wanted
         ]
         return (min(idle)[1],) if idle else None
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -86,7 +86,7 @@
 
     def __init__(
         self,
-        holding: _holding.EngineRecord,
+        record: _holding.EngineRecord,
         spec: catalogue.EngineSpec,
         engine: targets.AdapterEngine,
         term: int,
@@ -98,9 +98,9 @@
         started: collections.abc.Callable[[int], None] = lambda _: None,
         earlier_starts: int = 0,
     ) -> None:
-        self.holding = holding
+        self.record = record
         self._start_time_ms = targets.Incarnation.of(
-            holding.info.id
+            record.info.id
         ).start_time_ms
         self._started = started
         self._spec = spec
@@ -134,13 +134,13 @@
         uncertain. After a leader change, the engine's count of runs is polled
         until no unreported request can run there.
         """
-        if not self.holding.known:
+        if not self.record.known:
             self.settle()
             return
         now = self._clock.now()
         since_s = now - self._asked_at
         if (
-            self.holding.may_have_unreported_runs(now)
+            self.record.may_have_unreported_runs(now)
             and since_s > REPORT_LAG_S
         ):
             self._asked_at = now
@@ -173,11 +173,11 @@
     def _compare_runs(self, report: targets.AdapterReport) -> None:
         seen_until = self._clock.now() - REPORT_LAG_S
         runs = report.running + report.queued
-        self.holding.compare_runs(runs, seen_until)
+        self.record.compare_runs(runs, seen_until)
 
     def settle(self) -> None:
         """Mark the state as unknown and reconcile it with a report."""
-        self.holding.known = False
+        self.record.known = False
         if not self._leads():
             # A new leader starts records of its own. If this process leads
             # again, tend() resumes the reconciliation.
@@ -195,7 +195,7 @@
                 report = await self._report()
             except wire.ServingError as error:
                 self._log("report_failed", error=error.message)
-                self.holding.add_fault(self._clock.now())
+                self.record.add_fault(self._clock.now())
                 await self._clock.sleep(retry_s)
                 retry_s = min(retry_s * 2, MAX_SETTLE_RETRY_S)
                 continue
@@ -203,13 +203,13 @@
             if report.busy or recent:
                 await self._clock.sleep(SETTLE_RETRY_S)
                 continue
-            if self.holding.shows_new_start(report):
+            if self.record.shows_new_start(report):
                 self._log("new_start", sequence=report.sequence)
-                self.holding.reset()
+                self.record.reset()
                 self._starts += 1
             if not report.models and await self._load_model(report):
                 continue
-            self.holding.apply_report(report, self._clock.now())
+            self.record.apply_report(report, self._clock.now())
             self._asked_at = self._clock.now()
             self._compare_runs(report)
             self._log(
@@ -223,7 +223,7 @@
             return
 
     def _confirm_pending(self) -> None:
-        for name, slot in self.holding.slot_by_name.items():
+        for name, slot in self.record.slot_by_name.items():
             if slot.state is State.DOUBTFUL:
                 self._run(self._confirm, name, slot)
 
@@ -232,7 +232,7 @@
 
         Returns whether the engine has to be polled again.
         """
-        if not self._spec.models or self.holding.leaving:
+        if not self._spec.models or self.record.leaving:
             return False
         if not self._gate_open():
             await self._clock.sleep(SETTLE_RETRY_S)
@@ -242,7 +242,7 @@
             await self._load_and_wait(model)
             return True
         async with self._store.turn():
-            if not self.holding.leaving:
+            if not self.record.leaving:
                 await self._load_and_wait(model)
         return True
 
@@ -260,7 +260,7 @@
                 report = await self._report()
             except wire.ServingError:
                 return
-            if report.models or self.holding.leaving:
+            if report.models or self.record.leaving:
                 return
 
     def start_load(
@@ -271,22 +271,22 @@
         now: float,
     ) -> None:
         """Start to load an adapter, evicting *victim* first if not None."""
-        holding = self.holding
-        replaced = holding.slot_by_name.get(name)
+        record = self.record
+        replaced = record.slot_by_name.get(name)
         uses = replaced.uses if replaced is not None else 0
         if victim is not None:
-            del holding.slot_by_name[victim]
-        load_s = COPY_LOAD_S if holding.has_copy(name) else STORE_LOAD_S
+            del record.slot_by_name[victim]
+        load_s = COPY_LOAD_S if record.has_copy(name) else STORE_LOAD_S
         slot = _holding.Slot(version, State.LOADING, uses, now, now + load_s)
-        holding.slot_by_name[name] = slot
+        record.slot_by_name[name] = slot
         self._log(
             "load",
             adapter="/".join(name),
             version=version,
             victim="/".join(victim) if victim else None,
-            copy=holding.has_copy(name),
-            sequence=holding.sequence,
-            in_transit=holding.in_transit(),
+            copy=record.has_copy(name),
+            sequence=record.sequence,
+            in_transit=record.in_transit(),
         )
         self._run(self._load, name, slot, victim)
 
@@ -312,14 +312,14 @@
             if not self._still_planned(name, slot):
                 return
             if victim is not None:
-                out = self._order(victim, None, self.holding.sequence)
+                out = self._order(victim, None, self.record.sequence)
                 if not self._apply_outcome(
                     await self._send(self._engine.unload, out)
                 ):
                     return
                 if not self._still_planned(name, slot):
                     return
-            order = self._order(name, slot.version, self.holding.sequence)
+            order = self._order(name, slot.version, self.record.sequence)
             if not self._apply_outcome(
                 await self._send(self._engine.load, order)
             ):
@@ -329,16 +329,16 @@
     def _still_planned(
         self, name: _holding.AdapterName, slot: _holding.Slot
     ) -> bool:
-        holds = self.holding.slot_by_name.get(name) is slot
-        return self.holding.known and holds
+        holds = self.record.slot_by_name.get(name) is slot
+        return self.record.known and holds
 
     def _apply_outcome(self, outcome: Order | None) -> bool:
         """Apply an order's outcome; reconcile unless it was accepted."""
         if outcome in (Order.STARTED, Order.HOLDS):
-            self.holding.sequence += 1
+            self.record.sequence += 1
             return True
         if outcome is Order.FENCED:
-            self.holding.fenced = True
+            self.record.fenced = True
         self._log("not_accepted", outcome=str(outcome))
         self.settle()
         return False
@@ -350,7 +350,7 @@
         await self._clock.sleep(max(0.0, slot.ready_at - self._clock.now()))
         lost = 0
         for _ in range(MAX_CONFIRM_ATTEMPTS):
-            if self.holding.slot_by_name.get(name) is not slot:
+            if self.record.slot_by_name.get(name) is not slot:
                 return
             if self._leads() and not self._gate_open():
                 # No order may be sent yet; a report shows the outcome too.
@@ -358,7 +358,7 @@
                 self.settle()
                 return
             async with self._lock:
-                order = self._order(name, slot.version, self.holding.sequence)
+                order = self._order(name, slot.version, self.record.sequence)
                 outcome = await self._send(self._engine.load, order)
             if outcome is None and self._gate_open():
                 # The order was lost. If it is executed late, it has no
@@ -368,7 +368,7 @@
                     continue
             if outcome is Order.HOLDS:
                 slot.state = State.READY
-                self.holding.remember_copy(name)
+                self.record.remember_copy(name)
                 self._log("loaded", adapter="/".join(name))
                 self._changed()
                 return
@@ -386,7 +386,7 @@
         expected: int | None,
     ) -> targets.EngineOrder:
         return targets.EngineOrder(
-            self.holding.info.id,
+            self.record.info.id,
             name[0],
             name[1],
             version,
@@ -416,7 +416,7 @@
                 with self._gate.sending():
                     return await send(order)
             except wire.ServingError as error:
-                self.holding.add_fault(self._clock.now(), 0.2)
+                self.record.add_fault(self._clock.now(), 0.2)
                 self._log("order_lost", error=error.message)
             finally:
                 self._ordered_at = self._clock.now()
@@ -438,7 +438,7 @@
         observe.log_event(
             "order",
             what,
-            target=self.holding.info.id,
+            target=self.record.info.id,
             fence=self._fence,
             **fields,
         )
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -133,15 +133,15 @@
         """Whether the state is known and load orders are possible."""
         return self.known and not self.leaving and not self.fenced
 
-    def can_take(self, wish: "_place_policy.PlacementDemand") -> bool:
+    def can_take(self, demand: "_place_policy.PlacementDemand") -> bool:
         """Whether a request may run here and fits into the free capacity."""
         return (
             not self.leaving
-            and self.tokens + wish.tokens <= self._max_tokens
+            and self.tokens + demand.tokens <= self._max_tokens
             and len(self.grant_by_request) < self._spec.slots
-            and self.info.pool == wish.pool
-            and wish.name[0] in self.models
-            and self.info.id not in wish.avoid
+            and self.info.pool == demand.pool
+            and demand.name[0] in self.models
+            and self.info.id not in demand.avoid
         )
 
     @property
--- a/libs/placement/src/bergamotsail/placement/_place_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_place_policy.py
@@ -44,20 +44,23 @@
     """Computes the cost of serving a request on an engine."""
 
     @abc.abstractmethod
-    def busy_cost_s(self, holding: _holding.EngineRecord, now: float) -> float:
+    def busy_cost_s(self, record: _holding.EngineRecord, now: float) -> float:
         """Return the load of an engine, independent of any request."""
 
     @abc.abstractmethod
     def run_cost_s(
-        self, holding: _holding.EngineRecord, wish: PlacementDemand, now: float
+        self,
+        record: _holding.EngineRecord,
+        demand: PlacementDemand,
+        now: float,
     ) -> float:
         """Return the cost of running on an engine that holds the adapter."""
 
     @abc.abstractmethod
     def load_cost_s(
         self,
-        holding: _holding.EngineRecord,
-        wish: PlacementDemand,
+        record: _holding.EngineRecord,
+        demand: PlacementDemand,
         now: float,
         room: bool,
     ) -> float:
@@ -96,43 +99,48 @@
     fault_s: float = 0.3
     hash_rank_s: float = 0.01
 
-    def busy_cost_s(self, holding: _holding.EngineRecord, now: float) -> float:
-        backlog_s = holding.reading.backlog_s(now)
-        return backlog_s + self.fault_s * holding.faults(now)
+    def busy_cost_s(self, record: _holding.EngineRecord, now: float) -> float:
+        backlog_s = record.reading.backlog_s(now)
+        return backlog_s + self.fault_s * record.faults(now)
 
     def run_cost_s(
-        self, holding: _holding.EngineRecord, wish: PlacementDemand, now: float
+        self,
+        record: _holding.EngineRecord,
+        demand: PlacementDemand,
+        now: float,
     ) -> float:
-        tokens = holding.new_tokens(wish.name, wish.parts, wish.prompt_tokens)
-        far = holding.info.datacentre != wish.datacentre
+        tokens = record.new_tokens(
+            demand.name, demand.parts, demand.prompt_tokens
+        )
+        far = record.info.datacentre != demand.datacentre
         return (
-            holding.reading.backlog_s(now, wish.priority)
-            + self.fault_s * holding.faults(now)
-            + holding.reading.pace(now).read_s(tokens)
+            record.reading.backlog_s(now, demand.priority)
+            + self.fault_s * record.faults(now)
+            + record.reading.pace(now).read_s(tokens)
             + (self.other_datacentre_s if far else 0.0)
         )
 
     def load_cost_s(
         self,
-        holding: _holding.EngineRecord,
-        wish: PlacementDemand,
+        record: _holding.EngineRecord,
+        demand: PlacementDemand,
         now: float,
         room: bool,
     ) -> float:
-        cost_s = self.run_cost_s(holding, wish, now)
-        if holding.has_copy(wish.name):
+        cost_s = self.run_cost_s(record, demand, now)
+        if record.has_copy(demand.name):
             cost_s += self.copy_load_s
         else:
             # The cost of a fetch is shared by the requests that use it.
-            price_s = self.store_price_s / (1.0 + wish.uses)
-            price_s = max(0.0, price_s - wish.waited_s)
+            price_s = self.store_price_s / (1.0 + demand.uses)
+            price_s = max(0.0, price_s - demand.waited_s)
             cost_s += self.store_load_s + price_s
-            cost_s += self.hash_rank_s * _rank(holding.info.id, wish.name)
+            cost_s += self.hash_rank_s * _rank(record.info.id, demand.name)
         if room:
             return cost_s
         # The longer a request has waited, the more a full engine costs, so
         # that it is eventually loaded elsewhere.
-        waited_s = wish.waited_s * WAITING_WEIGHT
+        waited_s = demand.waited_s * WAITING_WEIGHT
         return cost_s + self.slot_wait_s + waited_s
 
 
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -126,11 +126,11 @@
         self._term = -1
         self._term_at = 0.0
         self._orders_by_target: dict[str, _engine_orders.EngineOrders] = {}
-        self._holding_by_target: dict[str, _holding.EngineRecord] = {}
+        self._record_by_target: dict[str, _holding.EngineRecord] = {}
         # The target of each running request, by daemon boot and request.
         self._target_by_request: dict[str, dict[str, str]] = {}
         self._decider = _decisions.Decider(
-            self._holding_by_target, policy, settings, self._is_current
+            self._record_by_target, policy, settings, self._is_current
         )
         self._waiters: list[_waiting.Waiter] = []
         self._newest_seen_at: dict[_holding.AdapterName, tuple[int, float]] = (
@@ -209,7 +209,7 @@
         wait_s = self._rights.wait_s()
         if wait_s <= _max_wait_without_load_s(waiter.request):
             return
-        known = all(holding.known for holding in self._usable(waiter))
+        known = all(record.known for record in self._usable(waiter))
         if not known or self._grant_expected(waiter):
             return
         self._metrics.count("placements_refused", reason="no_orders_yet")
@@ -255,8 +255,8 @@
         The adapter may be resident, loading or in an unconfirmed state.
         """
         return waiter.done.done() or any(
-            waiter.name in holding.slot_by_name
-            for holding in self._usable(waiter)
+            waiter.name in record.slot_by_name
+            for record in self._usable(waiter)
         )
 
     def _log_wait(self, waiter: _waiting.Waiter) -> None:
@@ -273,9 +273,9 @@
     def _log_refusal(self, waiter: _waiting.Waiter) -> None:
         """Log a refusal with the state of the engines at that time."""
         where = {
-            target: str(holding.slot_by_name[waiter.name].state)
-            for target, holding in self._holding_by_target.items()
-            if waiter.name in holding.slot_by_name
+            target: str(record.slot_by_name[waiter.name].state)
+            for target, record in self._record_by_target.items()
+            if waiter.name in record.slot_by_name
         }
         usable = self._usable(waiter)
         observe.log_event(
@@ -287,7 +287,7 @@
             waiting=len(self._waiters),
             held_at=where,
             usable=len(usable),
-            settled=sum(holding.known for holding in usable),
+            settled=sum(record.known for record in usable),
             avoid=waiter.request.avoid or None,
             orders_in_s=round(self._rights.wait_s(), 3),
             term=self._term,
@@ -307,7 +307,7 @@
             orders = self._orders_by_target.get(begun.target)
             if orders is not None:
                 key = (request.boot, begun.request)
-                orders.holding.reading.begun(
+                orders.record.reading.begun(
                     key, begun.first_s, self._clock.now()
                 )
         for ended in request.ended:
@@ -320,12 +320,12 @@
         now = self._clock.now()
         grant = self._release(boot, ended.request, ended.target, now)
         if ended.outcome is Outcome.FAILED:
-            orders.holding.add_fault(now)
+            orders.record.add_fault(now)
         elif ended.outcome is Outcome.REFUSED:
-            orders.holding.add_fault(now, 0.5)
+            orders.record.add_fault(now, 0.5)
         elif ended.outcome is Outcome.ABSENT:
             if grant is not None:
-                orders.holding.slot_by_name.pop(grant.name, None)
+                orders.record.slot_by_name.pop(grant.name, None)
             orders.settle()
 
     # Callbacks from the session coordinator.
@@ -337,10 +337,10 @@
         now = self._clock.now()
         running = {(use.target, use.request) for use in uses}
         for request, target in list(self._requests_of(boot).items()):
-            holding = self._holding_by_target.get(target)
+            record = self._record_by_target.get(target)
             grant = None
-            if holding is not None:
-                grant = holding.grant_by_request.get((boot, request))
+            if record is not None:
+                grant = record.grant_by_request.get((boot, request))
             if grant is None:
                 del self._requests_of(boot)[request]
                 continue
@@ -348,12 +348,12 @@
             if old and (target, request) not in running:
                 self._release(boot, request, target, now)
         for use in uses:
-            holding = self._holding_by_target.get(use.target)
+            record = self._record_by_target.get(use.target)
             key = (boot, use.request)
-            if holding is None or key in holding.grant_by_request:
+            if record is None or key in record.grant_by_request:
                 continue
             name = (use.model, use.adapter)
-            holding.restore(
+            record.restore(
                 _holding.Grant(boot, use.request, name, use.tokens, now)
             )
             self._move_request(boot, use.request, use.target, now)
@@ -382,10 +382,10 @@
     ) -> _holding.Grant | None:
         """Release a request's grant and return it, if there was one."""
         self._requests_of(boot).pop(request, None)
-        holding = self._holding_by_target.get(target)
-        if holding is None:
+        record = self._record_by_target.get(target)
+        if record is None:
             return None
-        return holding.release(boot, request, now)
+        return record.release(boot, request, now)
 
     def drop_uses(self, boot: str) -> None:
         now = self._clock.now()
@@ -406,10 +406,10 @@
             seen.add(info.id)
             if info.id not in self._orders_by_target:
                 self._add_target(info, pool.engine)
-            self._orders_by_target[info.id].holding.leaving = info.leaving
+            self._orders_by_target[info.id].record.leaving = info.leaving
         for target in set(self._orders_by_target) - seen:
             self._orders_by_target.pop(target).stop()
-            del self._holding_by_target[target]
+            del self._record_by_target[target]
             self._removed_targets.add(target)
         self._schedule_soon()
 
@@ -449,9 +449,9 @@
         )
         self._incarnations_by_name[name] += 1
         self._orders_by_target[info.id] = orders
-        self._holding_by_target[info.id] = orders.holding
+        self._record_by_target[info.id] = orders.record
         if self._notes is not None:
-            orders.holding.restore_copies(self._notes.names(info.id))
+            orders.record.restore_copies(self._notes.names(info.id))
         orders.settle()
 
     # Terms.
@@ -479,7 +479,7 @@
         for orders in self._orders_by_target.values():
             orders.stop()
         self._orders_by_target.clear()
-        self._holding_by_target.clear()
+        self._record_by_target.clear()
         self._target_by_request.clear()
         self._lacking.clear()
         self._incarnations_by_name.clear()
@@ -519,7 +519,7 @@
                 3,
             ),
             engines={
-                target: orders.holding.summary(self._clock.now())
+                target: orders.record.summary(self._clock.now())
                 for target, orders in self._orders_by_target.items()
             },
         )
@@ -539,18 +539,18 @@
 
     def _new_copies(self) -> collections.abc.Iterator[catalogue.Copies]:
         for target, orders in self._orders_by_target.items():
-            names = tuple(map("/".join, orders.holding.new_copies))
-            orders.holding.new_copies.clear()
+            names = tuple(map("/".join, orders.record.new_copies))
+            orders.record.new_copies.clear()
             if names:
                 yield catalogue.Copies(target, names)
 
     def _usable(self, waiter: _waiting.Waiter) -> list[_holding.EngineRecord]:
         """Return the engines that could run a request."""
-        wish = self._wish(waiter, self._clock.now())
+        demand = self._demand(waiter, self._clock.now())
         return [
-            holding
-            for holding in self._holding_by_target.values()
-            if holding.can_take(wish)
+            record
+            for record in self._record_by_target.values()
+            if record.can_take(demand)
         ]
 
     # Scheduling.
@@ -635,7 +635,7 @@
         """
         wanted = {other.name for other in self._waiters}
         decision = self._decider.decide(
-            self._wish(waiter, now), wanted, now, self._rights.may_order()
+            self._demand(waiter, now), wanted, now, self._rights.may_order()
         )
         if isinstance(decision, _decisions.Run):
             self._grant(waiter, decision.target, now)
@@ -654,8 +654,8 @@
         may_load: bool,
     ) -> bool:
         """Decide for a request and act on it; False if it has to wait."""
-        wish = self._wish(waiter, now)
-        decision = self._decider.decide(wish, wanted, now, may_load)
+        demand = self._demand(waiter, now)
+        decision = self._decider.decide(demand, wanted, now, may_load)
         if isinstance(decision, _decisions.Run):
             self._grant(waiter, decision.target, now)
             return True
@@ -677,11 +677,11 @@
         version = self._wanted_version(name)
         orders.start_load(name, version, decision.victim, now)
 
-    def _wish(
+    def _demand(
         self, waiter: _waiting.Waiter, now: float
     ) -> _place_policy.PlacementDemand:
         uses = self._uses.value("/".join(waiter.name), now)
-        return waiter.wish(uses, now)
+        return waiter.demand(uses, now)
 
     def _pool_pace(self, pool: str) -> _pace.PoolPace:
         if pool not in self._pace_by_pool:
@@ -690,25 +690,25 @@
         return self._pace_by_pool[pool]
 
     def _grant(self, waiter: _waiting.Waiter, target: str, now: float) -> None:
-        holding = self._holding_by_target[target]
+        record = self._record_by_target[target]
         request = waiter.request
         grant = _holding.Grant(
             request.boot, request.request, waiter.name, waiter.tokens, now
         )
         self._uses.add("/".join(waiter.name), now)
         self._move_request(request.boot, request.request, target, now)
-        backlog_s = holding.reading.backlog_s(now, request.priority)
-        new_tokens = holding.add(
+        backlog_s = record.reading.backlog_s(now, request.priority)
+        new_tokens = record.add(
             grant, request.parts, request.prompt_tokens, request.priority
         )
-        slot = holding.slot_by_name.get(waiter.name)
+        slot = record.slot_by_name.get(waiter.name)
         waited_s = now - waiter.arrived_at
         self._metrics.record_s("placement_wait", waited_s)
         reason = "resident" if waited_s < TICK_S else "loaded"
         waiter.done.set_result(
             _place_messages.PlaceReply(
-                holding.info.id,
-                holding.info.address,
+                record.info.id,
+                record.info.address,
                 slot.version if slot is not None else None,
                 waited_s,
                 reason,
@@ -719,10 +719,10 @@
             "grant",
             request=request.request,
             adapter="/".join(waiter.name),
-            target=holding.info.id,
+            target=record.info.id,
             reason=reason,
             waited_s=round(waited_s, 4),
-            running=holding.running,
+            running=record.running,
             new_tokens=new_tokens,
             backlog_s=round(backlog_s, 3),
             term=self._term,
@@ -754,17 +754,14 @@
         if not self._rights.may_order():
             return
         for orders in self._orders_by_target.values():
-            for name, slot in list(orders.holding.slot_by_name.items()):
+            for name, slot in list(orders.record.slot_by_name.items()):
                 wanted = self._wanted_version(name)
                 if wanted is None or slot.state is not State.READY:
                     continue
                 if (slot.version or 0) >= wanted:
                     continue
                 self._too_old(name, slot, now)
-                if (
-                    orders.holding.is_idle(slot, now)
-                    and orders.holding.may_load
-                ):
+                if orders.record.is_idle(slot, now) and orders.record.may_load:
                     orders.start_load(name, wanted, None, now)
 
 
--- a/libs/placement/src/bergamotsail/placement/_waiting.py
+++ b/libs/placement/src/bergamotsail/placement/_waiting.py
@@ -49,7 +49,7 @@
         )
         return latest_start < now, request.priority, latest_start
 
-    def wish(self, uses: float, now: float) -> _place_policy.PlacementDemand:
+    def demand(self, uses: float, now: float) -> _place_policy.PlacementDemand:
         """Return the requirements of the request for a decision."""
         return _place_policy.PlacementDemand(
             self.request.pool,
