--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -27,7 +27,7 @@
 from bergamotsail.placement import _placer
 from bergamotsail.routing import _forward
 from bergamotsail.routing import _forward_types
-from bergamotsail.routing import _places
+from bergamotsail.routing import _placements
 from bergamotsail.routing import _survey
 from bergamotsail import targets
 from bergamotsail import wire
@@ -479,11 +479,12 @@
     async def run() -> int:
         transport = _NoLeaderTransport()
         daemons = [
-            _places.PlacementClient(_session(83), transport) for _ in range(83)
+            _placements.PlacementClient(_session(83), transport)
+            for _ in range(83)
         ]
         asking = [
-            asyncio.create_task(places.take(_place_request(number)))
-            for places in daemons
+            asyncio.create_task(placements.take(_place_request(number)))
+            for placements in daemons
             for number in range(8)
         ]
         await asyncio.gather(*asking, return_exceptions=True)
@@ -492,7 +493,7 @@
     loop = looptime.new_event_loop()
     with contextlib.closing(loop):
         calls = loop.run_until_complete(run())
-    most = 2 * _places.MAX_ASKS_PER_S + 83 * _places.MIN_BURST
+    most = 2 * _placements.MAX_ASKS_PER_S + 83 * _placements.MIN_BURST
     return (
         []
         if calls <= most
@@ -515,7 +516,7 @@
         began_at = loop.time()
         session = _session(83)
         session.silent_s.side_effect = lambda: loop.time() - began_at
-        places = _places.PlacementClient(session, _NoLeaderTransport())
+        placements = _placements.PlacementClient(session, _NoLeaderTransport())
         held = []
 
         async def ask(number: int) -> None:
@@ -524,7 +525,7 @@
                 _place_request(number), patience_s=3.0, objective_s=1.0
             )
             try:
-                await places.take(request)
+                await placements.take(request)
             except wire.OverloadError as error:
                 held_s = loop.time() - began_at - came_at
                 held.append((came_at, held_s, error.retry_after_s))
@@ -587,7 +588,7 @@
         session.digest.target_by_id = {info.id: info for info in infos}
         session.view.named_version.return_value = 7
         survey = _survey.Survey(ask, random.Random(1))
-        places = _places.PlacementClient(
+        placements = _placements.PlacementClient(
             session, _NoLeaderTransport(), survey=survey if asks else None
         )
         await asyncio.sleep(2.0)
@@ -597,12 +598,12 @@
             for number in range(20)
         ]
         found = await asyncio.gather(
-            *map(places.take, requests), return_exceptions=True
+            *map(placements.take, requests), return_exceptions=True
         )
         took_s = loop.time() - began
         absent = dataclasses.replace(_place_request(20), adapter="a2")
         refused = await asyncio.gather(
-            places.take(absent), return_exceptions=True
+            placements.take(absent), return_exceptions=True
         )
         if took_s > 0.3:
             refused.append(f"the placements took {took_s:.2f} s")
@@ -651,14 +652,14 @@
 
     async def run() -> list[int]:
         transport = _GrantingTransport()
-        places = _places.PlacementClient(_session(83), transport)
+        placements = _placements.PlacementClient(_session(83), transport)
         late = [
             dataclasses.replace(_place_request(n), waited_s=1.5)
             for n in range(10)
         ]
         fresh = [_place_request(n) for n in range(10, 14)]
         asking = [
-            asyncio.create_task(places.take(request))
+            asyncio.create_task(placements.take(request))
             for request in (*late, *fresh)
         ]
         await asyncio.gather(*asking, return_exceptions=True)
--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -157,9 +157,9 @@
     def outgoing(self, request, destination) -> routing.Headers:
         return (("expect", destination.target),)
 
-    def read(self, request, head) -> routing.Reading:
+    def read(self, request, head) -> routing.ParsedHead:
         absent = head.status == 421
-        return routing.Reading(True, absent, absent, True)
+        return routing.ParsedHead(True, absent, absent, True)
 
     def returning(self, head) -> routing.Headers:
         return ()
@@ -205,10 +205,10 @@
         leader = control.Leader(transport, world.addresses[:3])
         self.session = control.Session(info, leader, transport, LEASE)
         self.session.attach(self)
-        self.places = unittest.mock.Mock()
+        self.placements = unittest.mock.Mock()
         self.forwarder = routing.Forwarder(
             self.session,
-            self.places,
+            self.placements,
             routing.ServiceBalancer(datacentre, random.Random(number)),
             routing.ResendBudgets(10.0, 1e6, lambda: 3),
             world.make_http(number),
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -106,23 +106,23 @@
             server, control.HEARTBEAT, placement.PLACE, placement.RELEASE
         )
         survey = routing.Survey(fleet.ask, fleet.rng)
-        self.places = routing.PlacementClient(
+        self.placements = routing.PlacementClient(
             self.session, transport, wire.LoopClock(), survey
         )
         self.session.attach(self)
         self.datacentre = datacentre
 
     def uses(self) -> tuple[control.Use, ...]:
-        return self.places.uses()
+        return self.placements.uses()
 
     async def __aenter__(self) -> "_Entry":
-        await self.places.__aenter__()
+        await self.placements.__aenter__()
         await self.session.__aenter__()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         await self.session.__aexit__()
-        await self.places.__aexit__()
+        await self.placements.__aexit__()
 
 
 class Fleet(growth.DeployedReplicas):
@@ -219,7 +219,7 @@
         )
         ended = "placed"
         try:
-            place = await entry.places.take(ask)
+            place = await entry.placements.take(ask)
         except wire.ServingError as error:
             ended = error.code
         waited_s = loop.time() - arrived_at
@@ -236,12 +236,12 @@
         engine = self.engine_by_name[place.target]
         outcome = placement.UseOutcome.DONE
         if engine.begin(ask.adapter):
-            entry.places.begun(ask.request, place.target, 0.2)
+            entry.placements.begun(ask.request, place.target, 0.2)
             await asyncio.sleep(RUN_S)
             engine.end(ask.adapter)
         else:
             outcome = placement.UseOutcome.ABSENT
-        entry.places.give_back(ask.request, place.target, outcome)
+        entry.placements.give_back(ask.request, place.target, outcome)
         absent = outcome is placement.UseOutcome.ABSENT
         return "absent" if absent else "placed"
 
@@ -323,14 +323,14 @@
     return [
         f"seed {seed}: the last entry reported after {each_s:.2f} s"
         for seed, each_s in zip(seeds, took_s)
-        if each_s > _placer.USES_TOLD_S
+        if each_s > _placer.USES_REPORTED_S
     ]
 
 
 async def told_in_time_small() -> list[str]:
     """All entries report to a new leader before it assumes that they have.
 
-    After USES_TOLD_S it counts only the running requests reported to it.
+    After USES_REPORTED_S it counts only the running requests reported to it.
     """
     return await _check_report_delay(SMALL, range(16, 22))
 
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -92,9 +92,9 @@
 class Dialect(fatal_world.Dialect):
     """Reads the leaving and pause headers of responses."""
 
-    def read(self, request, head) -> routing.Reading:
+    def read(self, request, head) -> routing.ParsedHead:
         absent = head.status == 421
-        return routing.Reading(
+        return routing.ParsedHead(
             True,
             absent or head.status == 503,
             absent,
@@ -388,7 +388,7 @@
         entry, loop = world.entries[0], asyncio.get_running_loop()
         placer = _FakePlacer(world)
         placer.wait_s = wait_s
-        entry.forwarder._places = placer
+        entry.forwarder._placements = placer
         pool = catalogue.RoutePool(
             fatal_world.POOL,
             "/h",
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -759,7 +759,7 @@
     (
         "evict before entries have told",
         "taken_over",
-        (_placer, "USES_TOLD_S", 0.0),
+        (_placer, "USES_REPORTED_S", 0.0),
     ),
     (
         "decide at once, always",
@@ -774,7 +774,7 @@
     (
         "never tend to what was left open",
         "lead_in_doubt",
-        (placement.EngineOrders, "tend", lambda _: None),
+        (placement.EngineOrders, "reconcile", lambda _: None),
     ),
     (
         "leave the first place counted",
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -757,13 +757,13 @@
 def no_doubt() -> collections.abc.Iterator[None]:
     """Assume that engines run only what this owner started."""
 
-    def believe(self, name, report, as_of) -> None:
+    def apply_resident(self, name, report, as_of) -> None:
         if name not in self.by_name:
             self.by_name[name] = _residents.Resident(name, True, as_of)
 
     with (
         patch(_residents.Residents, "doubt", lambda *_: None),
-        patch(_residents.Residents, "_believe_present", believe),
+        patch(_residents.Residents, "_apply_resident", apply_resident),
     ):
         yield
 
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -353,14 +353,14 @@
 
     def __init__(
         self,
-        places: routing.PlacementClient,
+        placements: routing.PlacementClient,
         on_change: collections.abc.Callable[[], None],
     ) -> None:
-        self._places = places
+        self._placements = placements
         self._on_change = on_change
 
     def uses(self) -> tuple[control.Use, ...]:
-        return self._places.uses()
+        return self._placements.uses()
 
     def view_changed(self) -> None:
         self._on_change()
@@ -447,14 +447,14 @@
             return make_engine(instance).report()
 
         survey = routing.Survey(fetch_report, wire.make_rng(settings.name))
-        self._places = routing.PlacementClient(
+        self._placements = routing.PlacementClient(
             self.session, transport, clock, survey
         )
-        self.session.attach(_EntryParticipant(self._places, on_change))
+        self.session.attach(_EntryParticipant(self._placements, on_change))
         self._address = caller_address
         self.forwarder = routing.Forwarder(
             self.session,
-            self._places,
+            self._placements,
             routing.ServiceBalancer(
                 settings.datacentre, wire.make_rng(settings.name), clock
             ),
@@ -475,7 +475,7 @@
     async def __aenter__(self) -> "EntryPoint":
         await self._stack.enter_async_context(self.lag)
         await self._stack.enter_async_context(self.process_monitor)
-        await self._stack.enter_async_context(self._places)
+        await self._stack.enter_async_context(self._placements)
         await self._stack.enter_async_context(self.session)
         return self
 
--- a/libs/placement/src/bergamotsail/placement/_counter.py
+++ b/libs/placement/src/bergamotsail/placement/_counter.py
@@ -10,9 +10,9 @@
             lowest counts is dropped.
     """
 
-    def __init__(self, half_life_s: float, most: int = 5_000) -> None:
+    def __init__(self, half_life_s: float, max_keys: int = 5_000) -> None:
         self._half_life_s = half_life_s
-        self._max_keys = most
+        self._max_keys = max_keys
         self._count_by_key: dict[str, tuple[float, float]] = {}
 
     def add(self, key: str, now: float, weight: float = 1.0) -> None:
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -127,7 +127,7 @@
         for task in self._loads:
             task.cancel()
 
-    def tend(self) -> None:
+    def reconcile(self) -> None:
         """Reconcile an unknown state, or check for unreported runs.
 
         The state may have been left unknown while the leadership was
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -542,7 +542,7 @@
     ) -> None:
         now = self._clock.now()
         as_of = asked_at - report.age_s
-        if self._residents.believe(report, as_of, now):
+        if self._residents.apply_report(report, as_of, now):
             logging.info(
                 "place: Engine %s has the new incarnation %s.",
                 self.info.id,
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -41,7 +41,7 @@
 USE_GRACE_S = 1.5
 # Within about this time of a new term, every connected entry has found the
 # new leader and reported its running requests.
-USES_TOLD_S = 1.0
+USES_REPORTED_S = 1.0
 COPY_NOTE_INTERVAL_S = 0.5
 STATE_LOG_INTERVAL_S = 1.0
 # Half-life of the use counts of adapters.
@@ -433,7 +433,7 @@
             _holding.EngineRecord(
                 instance,
                 spec,
-                self._term_at + USES_TOLD_S,
+                self._term_at + USES_REPORTED_S,
                 self._pool_pace(info.pool),
             ),
             spec,
@@ -492,7 +492,7 @@
             if self._leadership.holds():
                 self._rights.claim()
                 for orders in self._orders_by_target.values():
-                    orders.tend()
+                    orders.reconcile()
                 self._refresh_versions(self._clock.now())
                 self._schedule_soon()
                 if self._clock.now() - logged_at > STATE_LOG_INTERVAL_S:
--- a/libs/placement/src/bergamotsail/placement/_residents.py
+++ b/libs/placement/src/bergamotsail/placement/_residents.py
@@ -119,7 +119,7 @@
         self.by_name.clear()
         self._gone_at.clear()
 
-    def believe(
+    def apply_report(
         self, report: targets.EngineReport, as_of: float, now: float
     ) -> bool:
         """Apply a report of the engine's state at *as_of*.
@@ -133,13 +133,13 @@
         if is_new:
             self.restarted(report.incarnation, now)
         for name in report.residents:
-            self._believe_present(name, report, as_of)
+            self._apply_resident(name, report, as_of)
         for name in set(self.by_name) - set(report.residents):
             if as_of > self.by_name[name].changed_at:
                 del self.by_name[name]
         return is_new
 
-    def _believe_present(
+    def _apply_resident(
         self, name: str, report: targets.EngineReport, as_of: float
     ) -> None:
         resident = self.by_name.get(name)
--- a/libs/routing/src/bergamotsail/routing/__init__.py
+++ b/libs/routing/src/bergamotsail/routing/__init__.py
@@ -7,7 +7,7 @@
 
 from bergamotsail.routing import _forward
 from bergamotsail.routing import _forward_types
-from bergamotsail.routing import _places
+from bergamotsail.routing import _placements
 from bergamotsail.routing import _service_choice
 from bergamotsail.routing import _survey
 from bergamotsail import wire
@@ -19,8 +19,8 @@
 Forwarder = _forward.Forwarder
 Headers = _forward_types.Headers
 ModelPart = _forward_types.ModelPart
-PlacementClient = _places.PlacementClient
-Reading = _forward_types.Reading
+PlacementClient = _placements.PlacementClient
+ParsedHead = _forward_types.ParsedHead
 ResendBudgets = _service_choice.ResendBudgets
 ServiceBalancer = _service_choice.ServiceBalancer
 Survey = _survey.Survey
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -20,7 +20,7 @@
 from bergamotsail import placement
 from bergamotsail.routing import _fatal
 from bergamotsail.routing import _forward_types
-from bergamotsail.routing import _places
+from bergamotsail.routing import _placements
 from bergamotsail.routing import _service_choice
 from bergamotsail import wire
 
@@ -93,7 +93,7 @@
     age_s: float
     avoid: set[str] = dataclasses.field(default_factory=set)
     sends: int = 0
-    places: int = 0
+    placements: int = 0
     runs: int = 0
     last_event: str | None = None
     partial_event: bytes = b""
@@ -141,7 +141,7 @@
     def __init__(
         self,
         session: control.Session,
-        places: _places.PlacementClient,
+        placements: _placements.PlacementClient,
         services: _service_choice.ServiceBalancer,
         budgets: _service_choice.ResendBudgets,
         http: wire.CurlClient,
@@ -154,7 +154,7 @@
         self._rng = rng or random.Random()
         self._session = session
         self._guard = _fatal.QuarantineGuard(session, metrics)
-        self._places = places
+        self._placements = placements
         self._services = services
         self._budgets = budgets
         self._http = http
@@ -417,14 +417,14 @@
         request = attempt.request
         model = request.model
         assert model is not None
-        name = f"{request.id}.{attempt.places}"
-        attempt.places += 1
+        name = f"{request.id}.{attempt.placements}"
+        attempt.placements += 1
         # The leader, which grants placements, does not know about these.
         closed = (
             *self._session.untold_leaving(),
             *self._session.heard.paused(SHORT_PAUSE_S, self._clock.now()),
         )
-        place = await self._places.take(
+        place = await self._placements.take(
             placement.PlaceRequest(
                 self._session.boot,
                 name,
@@ -448,7 +448,7 @@
         try:
             self._check_accepting(attempt, place.target)
         except _NotAcceptingError:
-            self._places.give_back(name, place.target, outcome)
+            self._placements.give_back(name, place.target, outcome)
             await self._wait_for_engine(attempt, place.target)
             raise
         destination = self._destination(
@@ -460,7 +460,7 @@
             """Report the time to the first piece of the answer, once."""
             attempt.on_first_piece = None
             first_s = self._clock.now() - placed_at
-            self._places.begun(name, place.target, first_s)
+            self._placements.begun(name, place.target, first_s)
 
         attempt.on_first_piece = report_first_piece
         try:
@@ -471,7 +471,7 @@
             raise
         finally:
             attempt.on_first_piece = None
-            self._places.give_back(name, place.target, outcome)
+            self._placements.give_back(name, place.target, outcome)
 
     def _check_accepting(self, attempt: _Attempt, target: str) -> None:
         """Raise if a target is leaving or paused.
@@ -626,28 +626,28 @@
         exchange: wire.Exchange,
         head: wire.ReplyHead,
     ) -> None:
-        reading = self._dialect.read(attempt.request, head)
-        self._record_announcements(attempt, reading)
+        parsed = self._dialect.read(attempt.request, head)
+        self._record_announcements(attempt, parsed)
         observe.log_event(
             "route",
             "answer",
             request=attempt.request.id,
             target=attempt.target,
             status=head.status,
-            own=reading.own,
-            not_run=reading.not_run,
+            own=parsed.own,
+            not_run=parsed.not_run,
             since_arrival_s=round(
                 self._clock.now() - attempt.request.arrived_at, 4
             ),
         )
-        if reading.not_run:
-            code = "absent" if reading.absent else "refused"
+        if parsed.not_run:
+            code = "absent" if parsed.absent else "refused"
             error = wire.OverloadError(
                 f"The target refused the request: {code}."
             )
             error.code = code
             raise _retryable(error, wire.RunStatus.NOT_RUN)
-        if not reading.own or not reading.has_seal:
+        if not parsed.own or not parsed.has_seal:
             raise _InvalidAnswerError(
                 "The answer is invalid or belongs to another request."
             )
@@ -681,26 +681,26 @@
         await attempt.answer.finish()
 
     def _record_announcements(
-        self, attempt: _Attempt, reading: _forward_types.Reading
+        self, attempt: _Attempt, parsed: _forward_types.ParsedHead
     ) -> None:
         """Record a drain or pause that a target announces in its answer."""
-        for said in (reading.leaving, reading.pause):
+        for said in (parsed.leaving, parsed.pause):
             if said.invalid_value is not None:
                 logging.info(
                     "route: Cannot parse status header from %s: %.80r",
                     attempt.target,
                     said.invalid_value,
                 )
-        if not reading.own:
+        if not parsed.own:
             return
         heard, now = self._session.heard, self._clock.now()
-        if reading.leaving.is_set and heard.note_leaving(attempt.target):
+        if parsed.leaving.is_set and heard.note_leaving(attempt.target):
             self._metrics.count("targets_heard_leaving")
             self._log_announcement(attempt, "leaving", None)
             # Tell the other daemons before they hear it from the target.
             self._session.kick()
-        if reading.pause.value is not None:
-            until = heard.pauses(attempt.target, reading.pause.value, now)
+        if parsed.pause.value is not None:
+            until = heard.pauses(attempt.target, parsed.pause.value, now)
             self._metrics.count("targets_heard_pausing")
             self._log_announcement(attempt, "pause", until - now)
 
--- a/libs/routing/src/bergamotsail/routing/_forward_types.py
+++ b/libs/routing/src/bergamotsail/routing/_forward_types.py
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class ParsedHead:
     """The parsed head of a target's answer.
 
     Args:
@@ -122,7 +122,7 @@
         """Return the headers to send to a target."""
 
     @abc.abstractmethod
-    def read(self, request: CallerRequest, head: wire.ReplyHead) -> Reading:
+    def read(self, request: CallerRequest, head: wire.ReplyHead) -> ParsedHead:
         """Parse the head of a target's answer."""
 
     @abc.abstractmethod
--- a/libs/routing/src/bergamotsail/routing/_service_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_service_choice.py
@@ -109,7 +109,7 @@
         self._daemons = daemons
         self._clock = clock
         self._requests_by_pool: dict[str, collections.deque[float]] = {}
-        self._repeats_by_pool: dict[str, collections.deque[float]] = {}
+        self._resends_by_pool: dict[str, collections.deque[float]] = {}
 
     def count(self, pool: str) -> None:
         """Count a caller's request."""
@@ -118,11 +118,11 @@
     def take(self, pool: str) -> bool:
         """Take one resend from the budget; False if it is exhausted."""
         requests = len(self._recent(self._requests_by_pool, pool))
-        repeats = self._recent(self._repeats_by_pool, pool)
+        resends = self._recent(self._resends_by_pool, pool)
         part = self._slack / max(self._daemons(), MIN_DAEMONS)
-        if len(repeats) + 1 > self._ratio * requests + part:
+        if len(resends) + 1 > self._ratio * requests + part:
             return False
-        repeats.append(self._clock.now())
+        resends.append(self._clock.now())
         return True
 
     def _recent(
