--- a/libs/placement/src/bergamotsail/placement/_counter.py
+++ b/libs/placement/src/bergamotsail/placement/_counter.py
@@ -6,8 +6,8 @@
 
     Args:
         half_life_s: time after which an event counts half.
-        most: maximum number of keys. Above it, the half of the keys with the
-            lowest counts is dropped.
+        max_keys: above this number, the half of the keys with the lowest
+            counts is dropped.
     """
 
     def __init__(self, half_life_s: float, max_keys: int = 5_000) -> None:
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -156,7 +156,9 @@
         now: float,
         cost_s: float,
     ) -> Decision | None:
-        """Return a load or wait that beats *cost_s* by enough, else None.
+        """Return a load or wait that beats *cost_s*, else None.
+
+        The gain must be at least MIN_SPREAD_GAIN_S.
 
         While a load of the adapter that is not overdue is in progress, no
         further one is started.
@@ -186,8 +188,8 @@
     ) -> Load | None:
         """Return the cheapest load.
 
-        None if no engine qualifies, the cheapest one has no room now, or its
-        cost exceeds *limit_s*.
+        None if no engine qualifies, the cheapest one can't start a load now,
+        or its cost exceeds *limit_s*.
         """
         best: tuple[float, int, EngineRecord] | None = None
         best_slot: tuple[_holding.AdapterName | None] | None = None
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -40,7 +40,7 @@
 
     @abc.abstractmethod
     def leads(self) -> bool:
-        """Whether this process is the leader of the record's term."""
+        """Whether this process leads, in the term that it follows."""
 
     @abc.abstractmethod
     def may_order(self) -> bool:
@@ -81,7 +81,8 @@
         gate: checked as each order is written.
         changed: called when a load or the engine's state was confirmed.
         started: called with the start time in milliseconds when the engine
-            reports another start; this record is then invalid.
+            reports another start; the orders and the record are then
+            obsolete.
     """
 
     def __init__(
@@ -156,8 +157,8 @@
 
         Raises:
             ServingError: the engine gave no report.
-            TargetRestartedError: the engine was restarted; this record is
-                invalid.
+            TargetRestartedError: the engine was restarted; the record is
+                obsolete.
         """
         observe.count_message(self._metrics, "report")
         report = await self._engine.report()
@@ -180,7 +181,7 @@
         self.record.known = False
         if not self._leads():
             # A new leader starts records of its own. If this process leads
-            # again, tend() resumes the reconciliation.
+            # again, reconcile() resumes the reconciliation.
             return
         if self._settling is None or self._settling.done():
             work = observe.timed(self._metrics, "report", self._settle)
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -409,7 +409,7 @@
         """Return an error if the engine is silent or the deadline passed."""
         if not self._reachable() or self._clock.now() > job.deadline:
             return _WaitAbandonedError(
-                f"Engine {self.info.id} stopped responding during the answer."
+                f"Engine {self.info.id} did not complete the answer in time."
             )
         return None
 
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -217,10 +217,10 @@
         return now < self._runs_reported_by
 
     def compare_runs(self, runs: int, granted_before: float) -> None:
-        """Compare an engine's own count of runs with the grants.
+        """Rule out unreported runs if the engine counts no more than granted.
 
-        The count lags. If it does not exceed the number of grants made up to
-        *granted_before*, no unreported request runs on the engine.
+        The count lags, so it is compared with the number of grants made up to
+        *granted_before*.
         """
         known = sum(
             grant.granted_at <= granted_before
--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -60,8 +60,8 @@
 class PaceEstimate:
     """A least-squares line through (tokens, seconds) with decaying weights.
 
-    Example: after ``learn(8_000, 0.25, now)`` a few times over, ``pace``
-    reads some 32,000 tokens a second.
+    Example: after several calls of ``learn(8_000, 0.25, now)``, ``pace``
+    returns a speed near 32,000 tokens a second.
     """
 
     def __init__(self) -> None:
@@ -147,7 +147,7 @@
 class Reading:
     """The prefill backlog of one engine and the estimate of its speed.
 
-    A first answer shows that a prompt and all before it were read. It
+    The first answer to a prompt shows that its prefill has ended. It
     corrects the estimated backlog, so that errors don't accumulate. An
     engine preempts prefill for a more urgent prompt, so a request waits only
     for prompts that are at least as urgent.
--- a/libs/placement/src/bergamotsail/placement/_place_messages.py
+++ b/libs/placement/src/bergamotsail/placement/_place_messages.py
@@ -64,8 +64,8 @@
         avoid: targets that have refused or failed this request.
         waited_s: how long the request waited before this call.
         objective_s: objective for the time to the first token.
-        hope_s: refuse the request after this wait unless a load for it is in
-            progress.
+        hope_s: refuse the request after this wait unless a usable engine has
+            the adapter or loads it.
         age_s: approximate time that the client spent on earlier attempts.
         releases: pending releases of the daemon, sent along.
     """
@@ -97,7 +97,9 @@
         target: the engine incarnation that must run it.
         version: of the adapter; None for no specific one.
         waited_s: how long the request waited for the grant.
-        reason: ``resident`` or ``loaded``.
+        reason: ``resident`` if the request waited less than one tick of
+            the scheduler, else ``loaded``. Without a leader, ``surveyed`` or
+            ``remembered``, for a placement found by the daemon itself.
     """
 
     target: str
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -149,7 +149,7 @@
         self._pace_by_pool: dict[str, _pace.PoolPace] = {}
         self._schedule_timer: asyncio.TimerHandle | None = None
         self._schedule_took_s = 0.0
-        # Adapters for which the last decision found no free slot.
+        # Adapters whose load could not be started by the last decision.
         self._lacking: set[_holding.AdapterName] = set()
         self._names_left: collections.deque[_holding.AdapterName] = (
             collections.deque()
@@ -226,7 +226,8 @@
         """Wait for a grant.
 
         Raises:
-            NoCapacityError: ``hope_s`` passed with no load in progress.
+            NoCapacityError: ``hope_s`` passed, and no usable engine has the
+                adapter or loads it.
             StillWaitingError: ``patience_s`` passed.
         """
         request = waiter.request
@@ -502,7 +503,7 @@
                 self._fail_waiters()
 
     def _log_state(self) -> None:
-        """Log the believed state of all engines."""
+        """Log the recorded state of all engines."""
         observe.log_event(
             "place",
             "state",
@@ -545,7 +546,10 @@
                 yield catalogue.Copies(target, names)
 
     def _usable(self, waiter: _waiting.Waiter) -> list[_holding.EngineRecord]:
-        """Return the engines that could run a request."""
+        """Return the engines that have capacity for a request.
+
+        They need not hold its adapter.
+        """
         demand = self._demand(waiter, self._clock.now())
         return [
             record
@@ -630,8 +634,8 @@
     def _try_grant(self, waiter: _waiting.Waiter, now: float) -> bool:
         """Grant a new request if it can run now; False if it has to wait.
 
-        While other adapters lack a free slot, no load is started here, so
-        that loads start in order of rank rather than of arrival.
+        While loads of other adapters could not be started, none is started
+        here, so that loads start in order of rank rather than of arrival.
         """
         wanted = {other.name for other in self._waiters}
         decision = self._decider.decide(
@@ -739,7 +743,11 @@
     def _too_old(
         self, name: _holding.AdapterName, slot: _holding.Slot, now: float
     ) -> bool:
-        """Whether a slot's version is too old to start requests on."""
+        """Whether a slot's version is too old to start requests on.
+
+        Also records when a newer version is first seen, which starts the
+        period of OLD_VERSION_S.
+        """
         wanted = self._wanted_version(name)
         if wanted is None or (slot.version or 0) >= wanted:
             return False
@@ -760,6 +768,7 @@
                     continue
                 if (slot.version or 0) >= wanted:
                     continue
+                # Called to record when the newer version was first seen.
                 self._too_old(name, slot, now)
                 if orders.record.is_idle(slot, now) and orders.record.may_load:
                     orders.start_load(name, wanted, None, now)
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -21,7 +21,7 @@
 
     Args:
         notes: where the processes that gave orders are recorded.
-        opened: called when orders may be sent from now on.
+        on_acquired: called once orders may be sent.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.claim()
 
     def claim(self) -> None:
-        """Start recording this process as the holder if that is due."""
+        """Record this process as the holder, or the only one, if due."""
         if not self.leads():
             return
         if self._tenure.fence != self._term:
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -17,7 +17,7 @@
 
 
 class HolderRegistry(abc.ABC):
-    """Persists outside this process which instances gave orders."""
+    """Record, kept outside this process, of who gave orders."""
 
     @property
     @abc.abstractmethod
@@ -58,7 +58,7 @@
 
 
 class Tenure:
-    """The right of one process to give orders, without a clock of its own.
+    """The right of one process to give orders; callers pass the time.
 
     >>> tenure = Tenure(lease_s=3.0, started_at=0.0)
     >>> tenure.begin(2, "r1", ("r1", "r2"), now=10.0)
--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_entry.py
@@ -269,7 +269,7 @@
     def _final_error(
         self, error: wire.ServingError, attempt: "_Attempt"
     ) -> wire.ServingError:
-        """Return the final error: TruncatedError once parts were sent."""
+        """Log and return the error: TruncatedError once parts were sent."""
         self._metrics.count("refusals", code=error.code)
         self._log_decision("Refuse", attempt, "-", error.code)
         if attempt.point is None:
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -96,7 +96,10 @@
     async def exclusive(
         self, tracked: TrackedRequest, left_s: float
     ) -> collections.abc.AsyncIterator[None]:
-        """Ensure that no other copy of a suspected request runs, while inside.
+        """Keep other copies of a suspected request from running, while inside.
+
+        If the call to the leader fails, the request runs without this
+        guarantee.
 
         Args:
             left_s: the remaining patience of the caller.
@@ -127,7 +130,7 @@
     async def _acquire_exclusive(
         self, tracked: TrackedRequest, wait_s: float
     ) -> bool:
-        """Ask the leader for exclusivity; assume it if there is no reply."""
+        """Ask the leader for exclusivity; True also if the call fails."""
         wait_s = min(wait_s, MAX_EXCLUSIVE_WAIT_S)
         request = control.AloneRequest(
             self._session.boot, tracked.identity, wait_s
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -135,7 +135,7 @@
 
     Args:
         session: its view and digest are used even if they are stale.
-        places: grants placements on engines.
+        placements: grants placements on engines.
     """
 
     def __init__(
@@ -319,7 +319,10 @@
             await self._try_service(attempt)
 
     def _may_repeat(self, attempt: _Attempt) -> bool:
-        """Whether route, lost-target limit and budget allow a resend."""
+        """Whether route, lost-target limit and budget allow a resend.
+
+        If so, takes one resend from the budget.
+        """
         if attempt.runs >= attempt.route.attempts:
             return False
         if attempt.runs > 0 and not attempt.route.repeatable:
@@ -377,7 +380,9 @@
         """Wait for the shortest pause if the caller's patience allows it.
 
         Raises:
-            OverloadError: the pause is too long, or no target is paused.
+            OverloadError: the pause is too long, or no target is paused;
+                nothing was run.
+            UnknownOutcomeError: likewise, but an earlier send may have run.
             _NotAcceptingError: the pause is over; the attempt may be retried.
         """
         pause_s = min(self._remaining_pauses_s(attempt), default=0.0)
--- a/libs/routing/src/bergamotsail/routing/_forward_types.py
+++ b/libs/routing/src/bergamotsail/routing/_forward_types.py
@@ -99,7 +99,7 @@
         not_run: the target guarantees that it did not run the request.
         absent: the target is another incarnation, or lacks the adapter or
             version.
-        genuine: the head has the header that marks answers of targets.
+        has_seal: the head has the header that marks answers of targets.
         leaving: whether the target announces that it is leaving.
         pause: how long the target asks for no new work.
     """
--- a/libs/routing/src/bergamotsail/routing/_service_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_service_choice.py
@@ -1,4 +1,4 @@
-"""Load balancing and repeat budgets for plain services."""
+"""Load balancing and resend budgets for plain services."""
 
 import collections
 import collections.abc
