--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -255,7 +255,7 @@
             clock,
             _LogCopyRegistry(self.node, self.machine),
             settings=settings.places,
-            holder_notes=_LogHolderRegistry(
+            holder_registry=_LogHolderRegistry(
                 settings.name, self.node, self.machine
             ),
             tenure=placement.Tenure(
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -54,10 +54,10 @@
     """Wait for a load in progress or for a free slot.
 
     Args:
-        coming: whether a load of the adapter is in progress.
+        load_in_progress: whether a load of the adapter is in progress.
     """
 
-    coming: bool
+    load_in_progress: bool
 
 
 Decision = Run | Load | Wait
@@ -198,12 +198,12 @@
                 demand
             ):
                 continue
-            room = self._find_slot(record, wanted, now)
+            found = self._find_slot(record, wanted, now)
             cost_s = self._policy.load_cost_s(
-                record, demand, now, room is not None
+                record, demand, now, found is not None
             )
             if best is None or (cost_s, number) < best[:2]:
-                best, best_slot = (cost_s, number, record), room
+                best, best_slot = (cost_s, number, record), found
         if best is None or best_slot is None or best[0] > limit_s:
             return None
         return Load(best[2].info.id, best_slot[0])
--- a/libs/placement/src/bergamotsail/placement/_place_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_place_policy.py
@@ -62,12 +62,12 @@
         record: _holding.EngineRecord,
         demand: PlacementDemand,
         now: float,
-        room: bool,
+        can_start: bool,
     ) -> float:
         """Return the cost of loading the adapter there and then running.
 
         Args:
-            room: whether the load can start now.
+            can_start: whether the load can start now.
         """
 
 
@@ -125,7 +125,7 @@
         record: _holding.EngineRecord,
         demand: PlacementDemand,
         now: float,
-        room: bool,
+        can_start: bool,
     ) -> float:
         cost_s = self.run_cost_s(record, demand, now)
         if record.has_copy(demand.name):
@@ -136,7 +136,7 @@
             price_s = max(0.0, price_s - demand.waited_s)
             cost_s += self.store_load_s + price_s
             cost_s += self.hash_rank_s * _rank(record.info.id, demand.name)
-        if room:
+        if can_start:
             return cost_s
         # The longer a request has waited, the more a full engine costs, so
         # that it is eventually loaded elsewhere.
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -86,8 +86,8 @@
     Args:
         view: returns the current catalogue.
         make_engine: returns a client of the engine of a listed target.
-        notes: where copies are recorded for the next leader.
-        holder_notes: where the processes that gave orders are recorded.
+        copy_registry: where copies are recorded for the next leader.
+        holder_registry: where the processes that gave orders are recorded.
         tenure: decides when this process may give orders.
     """
 
@@ -101,23 +101,23 @@
         policy: _place_policy.PlacePolicy,
         metrics: observe.Metrics,
         clock: wire.Clock = wire.LoopClock(),
-        notes: CopyRegistry | None = None,
+        copy_registry: CopyRegistry | None = None,
         settings: _place_settings.PlaceSettings = (
             _place_settings.PlaceSettings()
         ),
-        holder_notes: _tenure.HolderRegistry = _tenure.NoHolderRegistry(),
+        holder_registry: _tenure.HolderRegistry = _tenure.NoHolderRegistry(),
         tenure: _tenure.Tenure | None = None,
     ) -> None:
         self._settings = settings
         self._rights = _rights.OrderRights(
             leadership,
             tenure or _tenure.Tenure(lease_s=0.0, started_at=0.0),
-            holder_notes,
+            holder_registry,
             self._schedule_soon,
             clock,
         )
         self._uses = _counter.DecayingCounter(USES_HALF_LIFE_S)
-        self._notes = notes
+        self._copy_registry = copy_registry
         self._leadership = leadership
         self._view = view
         self._make_engine = make_engine
@@ -150,7 +150,7 @@
         self._schedule_timer: asyncio.TimerHandle | None = None
         self._schedule_took_s = 0.0
         # Adapters whose load could not be started by the last decision.
-        self._lacking: set[_holding.AdapterName] = set()
+        self._blocked: set[_holding.AdapterName] = set()
         self._names_left: collections.deque[_holding.AdapterName] = (
             collections.deque()
         )
@@ -451,8 +451,8 @@
         self._incarnations_by_name[name] += 1
         self._orders_by_target[info.id] = orders
         self._record_by_target[info.id] = orders.record
-        if self._notes is not None:
-            orders.record.restore_copies(self._notes.names(info.id))
+        if self._copy_registry is not None:
+            orders.record.restore_copies(self._copy_registry.names(info.id))
         orders.settle()
 
     # Terms.
@@ -482,7 +482,7 @@
         self._orders_by_target.clear()
         self._record_by_target.clear()
         self._target_by_request.clear()
-        self._lacking.clear()
+        self._blocked.clear()
         self._incarnations_by_name.clear()
         self._fail_waiters()
 
@@ -529,14 +529,14 @@
         """Persist new copies and removed targets for the next leader."""
         while True:
             await self._clock.sleep(COPY_NOTE_INTERVAL_S)
-            if self._notes is None or not self._leadership.holds():
+            if self._copy_registry is None or not self._leadership.holds():
                 continue
             copies = tuple(self._new_copies())
             gone, self._removed_targets = tuple(self._removed_targets), set()
             if copies or gone:
                 with contextlib.suppress(wire.ServingError, TimeoutError):
                     note = catalogue.NoteCopies(copies, gone)
-                    await self._notes.note(note)
+                    await self._copy_registry.note(note)
 
     def _new_copies(self) -> collections.abc.Iterator[catalogue.Copies]:
         for target, orders in self._orders_by_target.items():
@@ -585,7 +585,7 @@
         now = self._clock.now()
         if not self._names_left:
             self._names_left.extend(self._ranked_names(now))
-            self._lacking.intersection_update(self._names_left)
+            self._blocked.intersection_update(self._names_left)
         waiters_by_name: dict[_holding.AdapterName, list[_waiting.Waiter]] = {}
         for waiter in self._waiters:
             waiters_by_name.setdefault(waiter.name, []).append(waiter)
@@ -644,10 +644,10 @@
         if isinstance(decision, _decisions.Run):
             self._grant(waiter, decision.target, now)
             return True
-        if isinstance(decision, _decisions.Load) and not self._lacking:
+        if isinstance(decision, _decisions.Load) and not self._blocked:
             self._start_load(decision, waiter.name, now)
         if decision == _decisions.Wait(False):
-            self._lacking.add(waiter.name)
+            self._blocked.add(waiter.name)
         return False
 
     def _decide_one(
@@ -666,9 +666,9 @@
         if isinstance(decision, _decisions.Load):
             self._start_load(decision, waiter.name, now)
         if decision == _decisions.Wait(False):
-            self._lacking.add(waiter.name)
+            self._blocked.add(waiter.name)
         else:
-            self._lacking.discard(waiter.name)
+            self._blocked.discard(waiter.name)
         return False
 
     def _start_load(
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -20,7 +20,7 @@
     """Follows the leadership and claims the right to give orders when due.
 
     Args:
-        notes: where the processes that gave orders are recorded.
+        holder_registry: where the processes that gave orders are recorded.
         on_acquired: called once orders may be sent.
     """
 
@@ -28,13 +28,13 @@
         self,
         leadership: _leadership.Leadership,
         tenure: _tenure.Tenure,
-        notes: _tenure.HolderRegistry,
+        holder_registry: _tenure.HolderRegistry,
         on_acquired: collections.abc.Callable[[], None],
         clock: wire.Clock,
     ) -> None:
         self._leadership = leadership
         self._tenure = tenure
-        self._notes = notes
+        self._holder_registry = holder_registry
         self._on_acquired = on_acquired
         self._clock = clock
         self._term = -1
@@ -80,9 +80,9 @@
             self._note_task.cancel()
 
     def _begin(self) -> None:
-        former = tuple(self._notes.former())
+        former = tuple(self._holder_registry.former())
         now = self._clock.now()
-        self._tenure.begin(self._term, self._notes.name, former, now)
+        self._tenure.begin(self._term, self._holder_registry.name, former, now)
         observe.log_event(
             "place",
             "tenure",
@@ -94,7 +94,7 @@
     async def _note(self, term: int, alone: bool) -> None:
         """Record this process as the holder before its first order."""
         try:
-            await self._notes.note(term, alone)
+            await self._holder_registry.note(term, alone)
         except (wire.ServingError, TimeoutError) as error:
             self._retry_at = self._clock.now() + NOTE_RETRY_S
             observe.log_event(
