--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -269,7 +269,7 @@
     def demand(
         self, adapter: str, tokens: int = 3_000
     ) -> _place_policy.PlacementDemand:
-        """Return the placement wish of a request."""
+        """Return the placement demand of a request."""
         return _place_policy.PlacementDemand(
             POOL, (MODEL, adapter), tokens + 100, (), (), tokens, "a", 0.0
         )
