--- a/libs/placement/src/bergamotsail/placement/_counter.py
+++ b/libs/placement/src/bergamotsail/placement/_counter.py
@@ -6,13 +6,13 @@
 
     Args:
         half_life_s: time after which an event counts half.
-        most: maximum number of keys. Above it, the half of the keys with the
-            lowest counts is dropped.
+        max_keys: above this number, the half of the keys with the lowest
+            counts is dropped.
     """
 
-    def __init__(self, half_life_s: float, most: int = 5_000) -> None:
+    def __init__(self, half_life_s: float, max_keys: int = 5_000) -> None:
         self._half_life_s = half_life_s
-        self._max_keys = most
+        self._max_keys = max_keys
         self._count_by_key: dict[str, tuple[float, float]] = {}
 
     def add(self, key: str, now: float, weight: float = 1.0) -> None:
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -409,7 +409,7 @@
         """Return an error if the engine is silent or the deadline passed."""
         if not self._reachable() or self._clock.now() > job.deadline:
             return _WaitAbandonedError(
-                f"Engine {self.info.id} stopped responding during the answer."
+                f"Engine {self.info.id} did not complete the answer in time."
             )
         return None
 
@@ -542,7 +542,7 @@
     ) -> None:
         now = self._clock.now()
         as_of = asked_at - report.age_s
-        if self._residents.believe(report, as_of, now):
+        if self._residents.apply_report(report, as_of, now):
             logging.info(
                 "place: Engine %s has the new incarnation %s.",
                 self.info.id,
--- a/libs/routing/src/bergamotsail/routing/_forward_types.py
+++ b/libs/routing/src/bergamotsail/routing/_forward_types.py
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class ParsedHead:
     """The parsed head of a target's answer.
 
     Args:
@@ -99,7 +99,7 @@
         not_run: the target guarantees that it did not run the request.
         absent: the target is another incarnation, or lacks the adapter or
             version.
-        genuine: the head has the header that marks answers of targets.
+        has_seal: the head has the header that marks answers of targets.
         leaving: whether the target announces that it is leaving.
         pause: how long the target asks for no new work.
     """
@@ -122,7 +122,7 @@
         """Return the headers to send to a target."""
 
     @abc.abstractmethod
-    def read(self, request: CallerRequest, head: wire.ReplyHead) -> Reading:
+    def read(self, request: CallerRequest, head: wire.ReplyHead) -> ParsedHead:
         """Parse the head of a target's answer."""
 
     @abc.abstractmethod
