--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -613,7 +613,7 @@
             return "log behind"
         if request.pre:
             reserved = self._reserve_pre_vote(request.candidate)
-            return "" if reserved else "reserved"
+            return "" if reserved else "another's turn"
         vote_available = self._vote.voted_for in (None, request.candidate)
         return "" if request.term > self.term or vote_available else "voted"
 
