--- a/libs/routing/src/bergamotsail/routing/_admission.py
+++ b/libs/routing/src/bergamotsail/routing/_admission.py
@@ -259,9 +259,9 @@
         """
         now = self._clock.now()
         waiting = [
-            waiting.deadline
+            waiter.deadline
             for queue in self._waiting_by_member.values()
-            for waiting in queue
+            for waiter in queue
         ]
         usual = now + self._settings.usual_run_bound_s
         self._sent_bound = max([usual, *self._deadlines, *waiting])
@@ -285,7 +285,7 @@
     ) -> tuple[str, ...]:
         """Return the keys of the limits that apply."""
         view = self._view()
-        found = []
+        keys = []
         subjects = (
             (catalogue.Kind.MEMBER, member),
             (kind, entry_id),
@@ -296,10 +296,10 @@
                 continue
             limits = entry.value.limits
             if limits.concurrency is not None:
-                found.append(f"concurrency/{subject_kind}/{subject_id}")
+                keys.append(f"concurrency/{subject_kind}/{subject_id}")
             if limits.rate is not None:
-                found.append(f"rate/{subject_kind}/{subject_id}")
-        return tuple(found)
+                keys.append(f"rate/{subject_kind}/{subject_id}")
+        return tuple(keys)
 
     async def _take(
         self, member: str, keys: tuple[str, ...], deadline: float
@@ -313,8 +313,8 @@
         if len(queue) >= self._settings.max_waiting:
             raise self._limit_error(member)
         ready = asyncio.get_running_loop().create_future()
-        waiting = _Waiter(keys, deadline, ready)
-        queue.append(waiting)
+        waiter = _Waiter(keys, deadline, ready)
+        queue.append(waiter)
         self._record_wanted(keys)
         self._kick()
         left_s = deadline - self._clock.now()
@@ -326,18 +326,18 @@
         except TimeoutError:
             raise self._limit_error(member) from None
         except asyncio.CancelledError:
-            self._return_if_taken(waiting)
+            self._return_if_taken(waiter)
             raise
         finally:
             polling.cancel()
-            if waiting in queue:
-                queue.remove(waiting)
+            if waiter in queue:
+                queue.remove(waiter)
 
-    def _return_if_taken(self, waiting: _Waiter) -> None:
-        ready = waiting.ready
+    def _return_if_taken(self, waiter: _Waiter) -> None:
+        ready = waiter.ready
         taken = ready.done() and not ready.cancelled()
         if taken and ready.exception() is None:
-            for key in waiting.keys:
+            for key in waiter.keys:
                 self._share_by_key[key].give_back()
 
     async def _poll(self, ready: asyncio.Future) -> None:
@@ -374,9 +374,9 @@
         for key in keys:
             share = self._share(key)
             waiting = sum(
-                key in waiting.keys
+                key in waiter.keys
                 for queue in self._waiting_by_member.values()
-                for waiting in queue
+                for waiter in queue
             )
             if isinstance(share, _Rate):
                 share.record_wanted(MILLI * max(1, waiting), now)
@@ -395,16 +395,16 @@
             self._refuse_waiting(error)
             return
         for queue in self._waiting_by_member.values():
-            for waiting in list(queue):
-                if waiting.ready.done():
-                    queue.remove(waiting)
-                elif self._try_take(waiting.keys, waiting.deadline):
-                    queue.remove(waiting)
-                    waiting.ready.set_result(None)
+            for waiter in list(queue):
+                if waiter.ready.done():
+                    queue.remove(waiter)
+                elif self._try_take(waiter.keys, waiter.deadline):
+                    queue.remove(waiter)
+                    waiter.ready.set_result(None)
 
     def _refuse_waiting(self, error: wire.LeaseLostError) -> None:
         for queue in self._waiting_by_member.values():
-            for waiting in queue:
-                if not waiting.ready.done():
-                    waiting.ready.set_exception(error)
+            for waiter in queue:
+                if not waiter.ready.done():
+                    waiter.ready.set_exception(error)
             queue.clear()
--- a/libs/routing/src/bergamotsail/routing/_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_choice.py
@@ -92,8 +92,8 @@
     ) -> Choice:
         residents = [t for t in targets if is_resident(t, adapter)]
         if not residents:
-            return self._cold(adapter, targets, now)
-        chosen = self._warm(adapter, residents, prefix)
+            return self._choose_cold(adapter, targets, now)
+        chosen = self._choose_resident(adapter, residents, prefix)
         others = [t for t in targets if t not in residents]
         if load_of(chosen) >= REPLICATE_LOAD and others:
             spare = min(others, key=load_of)
@@ -101,23 +101,23 @@
                 return Choice(spare, "second copy, the first is overloaded")
         return Choice(chosen, "resident")
 
-    def _warm(
+    def _choose_resident(
         self,
         adapter: str,
         residents: list[control.TargetInfo],
         prefix: int,
     ) -> control.TargetInfo:
-        known = self._target_by_prefix.get((adapter, prefix))
+        previous = self._target_by_prefix.get((adapter, prefix))
         chosen = min(
             residents,
-            key=lambda t: (round(load_of(t), 1), t.id != known, t.id),
+            key=lambda t: (round(load_of(t), 1), t.id != previous, t.id),
         )
         self._target_by_prefix[(adapter, prefix)] = chosen.id
         if len(self._target_by_prefix) > MAX_STICKY:
             self._target_by_prefix.pop(next(iter(self._target_by_prefix)))
         return chosen
 
-    def _cold(
+    def _choose_cold(
         self,
         adapter: str,
         targets: collections.abc.Sequence[control.TargetInfo],
@@ -128,11 +128,11 @@
         if pending:
             chosen = min(pending, key=lambda t: t.id)
             return Choice(chosen, "load ordered there")
-        sticky, at = self._cold_choice_by_adapter.get(adapter, ("", 0.0))
-        if sticky in by_id and now - at < STICKY_S:
-            return Choice(by_id[sticky], "load ordered there")
-        order = control.rendezvous(adapter, by_id)[:COLD_CANDIDATES]
-        chosen = min(order, key=lambda name: cost_of(by_id[name]))
+        recent, at = self._cold_choice_by_adapter.get(adapter, ("", 0.0))
+        if recent in by_id and now - at < STICKY_S:
+            return Choice(by_id[recent], "load ordered there")
+        candidates = control.rendezvous(adapter, by_id)[:COLD_CANDIDATES]
+        chosen = min(candidates, key=lambda name: cost_of(by_id[name]))
         self._cold_choice_by_adapter[adapter] = (chosen, now)
         if len(self._cold_choice_by_adapter) > MAX_STICKY:
             oldest = next(iter(self._cold_choice_by_adapter))
--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_entry.py
@@ -160,7 +160,9 @@
             last_at = started_at
             try:
                 async for part in parts:
-                    last_at = self._record(part, attempt, started_at, last_at)
+                    last_at = self._record_latency(
+                        part, attempt, started_at, last_at
+                    )
                     yield part
             finally:
                 await parts.aclose()
@@ -190,7 +192,7 @@
             )
         return targets.versioned_name(name, version)
 
-    def _record(
+    def _record_latency(
         self,
         part: AnswerPart,
         attempt: "_Attempt",
@@ -219,21 +221,21 @@
             attempt.point = completion.resume
             attempt.stream_id = completion.resume.stream_id
         tried: set[str] = set()
-        number = 0
+        tries = 0
         while True:
-            number += 1
+            tries += 1
             try:
                 async with contextlib.aclosing(
-                    self._attempt(attempt, tried)
+                    self._try_target(attempt, tried)
                 ) as parts:
                     async for part in parts:
                         yield part
                 return
             except wire.ServingError as error:
-                await self._back_off_or_raise(attempt, number, error)
+                await self._back_off_or_raise(attempt, tries, error)
 
     async def _back_off_or_raise(
-        self, attempt: "_Attempt", number: int, error: wire.ServingError
+        self, attempt: "_Attempt", tries: int, error: wire.ServingError
     ) -> None:
         """Back off before the next try, or raise the final error."""
         now = self._clock.now()
@@ -242,26 +244,28 @@
         if attempt.failing_since is None:
             attempt.failing_since = now
         if attempt.point is not None:
-            over = now - attempt.failing_since > MAX_RESUME_S
+            exhausted = now - attempt.failing_since > MAX_RESUME_S
         else:
-            over = number >= MAX_ATTEMPTS
+            exhausted = tries >= MAX_ATTEMPTS
         # A target refuses requests while its ownership changes. Nothing has
         # run, so this retry takes no budget and is limited by time only.
-        moving = isinstance(error, wire.NotOwnerError)
-        if moving:
-            over = now - attempt.failing_since > MAX_OWNER_CHANGE_S
+        owner_changing = isinstance(error, wire.NotOwnerError)
+        if owner_changing:
+            exhausted = now - attempt.failing_since > MAX_OWNER_CHANGE_S
             self._session.kick()
-        final = over or not _is_retryable(error, attempt)
+        final = exhausted or not _is_retryable(error, attempt)
         if final or now + RETRY_PAUSE_S >= attempt.deadline:
             raise self._final_error(error, attempt)
-        if not moving and not self._budgets.spend(attempt.caller.member):
+        if not owner_changing and not self._budgets.spend(
+            attempt.caller.member
+        ):
             self._metrics.count("retry_budget_spent")
             raise self._final_error(error, attempt)
         self._metrics.count("retries", code=error.code)
         self._log_decision("Retry", attempt, "-", error.code)
         if attempt.point is None:
             attempt.new_stream()
-        pauses = 1 if moving else number
+        pauses = 1 if owner_changing else tries
         await self._clock.sleep(RETRY_PAUSE_S * pauses)
         if not self._session.fresh():
             raise self._final_error(error, attempt)
@@ -284,7 +288,7 @@
             ran=wire.RunStatus.FAILED,
         )
 
-    async def _attempt(
+    async def _try_target(
         self, attempt: "_Attempt", tried: set[str]
     ) -> collections.abc.AsyncIterator[AnswerPart]:
         target, owner = self._route(attempt, tried)
@@ -340,16 +344,16 @@
         Raises:
             TruncatedError: a chunk is missing before this one.
         """
-        held = -1 if attempt.point is None else attempt.point.number
+        last_number = -1 if attempt.point is None else attempt.point.number
         mismatched = (
             chunk.stream_id != request.stream_id
             or chunk.adapter != request.adapter
         )
-        if mismatched or chunk.number <= held:
+        if mismatched or chunk.number <= last_number:
             self._metrics.count("chunks_dropped", reason="late")
             return None
-        if chunk.number != held + 1:
-            raise wire.TruncatedError(f"Chunk {held + 1} is missing.")
+        if chunk.number != last_number + 1:
+            raise wire.TruncatedError(f"Chunk {last_number + 1} is missing.")
         attempt.failing_since = None
         attempt.point = ResumePoint(
             request.target,
@@ -369,12 +373,12 @@
             self._log_decision("Resume", attempt, target, "stream is there")
             return target, self._owner_of(target)
         usable = self._usable_targets(attempt)
-        fresh = [target for target in usable if target.id not in tried]
+        untried = [target for target in usable if target.id not in tried]
         prefix = zlib.crc32(
             attempt.completion.prompt.text[:PREFIX_CHARS].encode()
         )
         choice = self._routing.choose(
-            attempt.adapter, fresh or usable, prefix, self._clock.now()
+            attempt.adapter, untried or usable, prefix, self._clock.now()
         )
         self._log_decision("Send", attempt, choice.target.id, choice.reason)
         return choice.target.id, self._owner_of(choice.target.id)
@@ -462,8 +466,8 @@
         self._metrics.count("cancelled_by_caller")
         cancel = placement.CancelRequest(request.target, request.stream_id)
         task = asyncio.create_task(self._send_cancel(owner, cancel))
-        _background.add(task)
-        task.add_done_callback(_background.discard)
+        _cancel_tasks.add(task)
+        task.add_done_callback(_cancel_tasks.discard)
 
     async def _send_cancel(
         self, owner: control.DaemonInfo, cancel: placement.CancelRequest
@@ -491,7 +495,7 @@
         )
 
 
-_background: set[asyncio.Task] = set()
+_cancel_tasks: set[asyncio.Task] = set()
 
 
 @dataclasses.dataclass(slots=True, eq=False)
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -40,8 +40,8 @@
         self.request = request
         self.member = member
         self.pool = pool
-        self.ends = 0
-        self.reported = False
+        self.losses = 0
+        self.end_reported = False
         self._compute_identity = identity
         self._identity: str | None = None
         self._ran = ran
@@ -61,7 +61,7 @@
     @property
     def may_retry(self) -> bool:
         """Whether this attempt may be sent to a further target."""
-        return self.ends < quarantine.MAX_ENDS
+        return self.losses < quarantine.MAX_ENDS
 
 
 class QuarantineGuard:
@@ -79,8 +79,8 @@
         Raises:
             QuarantinedError: it is; says whether this attempt may have run.
         """
-        held_by_id = self._session.view.quarantine_by_id
-        entry = held_by_id.get(tracked.identity) if held_by_id else None
+        entry_by_id = self._session.view.quarantine_by_id
+        entry = entry_by_id.get(tracked.identity) if entry_by_id else None
         if entry is None or not entry.value.held:
             return
         self._metrics.count("requests_held", pool=tracked.pool)
@@ -120,12 +120,12 @@
                 retry_after_s=EXCLUSIVE_RETRY_S,
                 ran=tracked.ran,
             )
-        tracked.reported = False
+        tracked.end_reported = False
         try:
             yield
         finally:
-            if not tracked.reported:
-                self._note(tracked, "", quarantine.RunEnd.GIVEN_UP)
+            if not tracked.end_reported:
+                self._report_end(tracked, "", quarantine.RunEnd.GIVEN_UP)
 
     async def _acquire_exclusive(
         self, tracked: TrackedRequest, wait_s: float
@@ -151,27 +151,32 @@
         return reply.granted
 
     def lost(
-        self, tracked: TrackedRequest, target: str, start: str | None = None
+        self,
+        tracked: TrackedRequest,
+        target: str,
+        incarnation: str | None = None,
     ) -> None:
         """Record that a target may have been lost while running a request.
 
         The loss of a target that is leaving is expected and not reported.
 
         Args:
-            start: names the incarnation of the target if its id does not.
+            incarnation: its name if the id of the target does not tell it.
         """
-        tracked.ends += 1
+        tracked.losses += 1
         info = self._session.digest.target_by_id.get(target)
         if info is None or not self._session.notices.is_gone(info):
-            self._note(tracked, start or target, quarantine.RunEnd.LOST)
+            self._report_end(
+                tracked, incarnation or target, quarantine.RunEnd.LOST
+            )
 
     def served(self, tracked: TrackedRequest, target: str) -> None:
         """Report a complete answer, which clears a suspected request."""
         ends = self._session.ends
         if ends.any_suspect and ends.suspected(tracked.identity):
-            self._note(tracked, target, quarantine.RunEnd.SERVED)
+            self._report_end(tracked, target, quarantine.RunEnd.SERVED)
 
-    def _note(
+    def _report_end(
         self, tracked: TrackedRequest, target: str, end: quarantine.RunEnd
     ) -> None:
         """Queue the outcome of a run for an early heartbeat."""
@@ -179,5 +184,5 @@
             tracked.identity, tracked.member, tracked.pool, target
         )
         self._session.ends.note(run, end)
-        tracked.reported = True
+        tracked.end_reported = True
         self._session.kick()
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -277,7 +277,7 @@
             runs=attempt.runs if attempt is not None else 0,
             target=attempt.target if attempt is not None else None,
             took_s=round(took_s, 4),
-            longest_pause_s=_pause_s(attempt),
+            longest_pause_s=_longest_pause_s(attempt),
         )
 
     async def _serve_in_time(self, attempt: _Attempt) -> None:
@@ -290,11 +290,13 @@
 
     def _time_out(self, attempt: _Attempt) -> None:
         """End an attempt whose deadline has passed."""
-        late = wire.DeadlineError(
+        error = wire.DeadlineError(
             "The target did not answer in time.", ran=wire.RunStatus.UNKNOWN
         )
         _abort_or_raise(
-            attempt, "No target accepted the request before its deadline", late
+            attempt,
+            "No target accepted the request before its deadline",
+            error,
         )
 
     async def _serve(self, attempt: _Attempt) -> None:
@@ -422,17 +424,17 @@
         request = attempt.request
         model = request.model
         assert model is not None
-        name = f"{request.id}.{attempt.placements}"
+        use_id = f"{request.id}.{attempt.placements}"
         attempt.placements += 1
         # The leader, which grants placements, does not know about these.
-        closed = (
+        not_accepting = (
             *self._session.unreported_leaving(),
             *self._session.notices.paused(SHORT_PAUSE_S, self._clock.now()),
         )
         place = await self._placements.take(
             placement.PlaceRequest(
                 self._session.boot,
-                name,
+                use_id,
                 attempt.pool.name,
                 model.model,
                 model.adapter,
@@ -442,7 +444,7 @@
                 attempt.route.priority,
                 self._placement_patience_s(attempt),
                 self._datacentre,
-                (*attempt.avoid, *closed),
+                (*attempt.avoid, *not_accepting),
                 self._clock.now() - request.arrived_at,
                 attempt.route.objective_s,
                 attempt.route.objective_s * REFUSE_AFTER_OBJECTIVES,
@@ -453,7 +455,7 @@
         try:
             self._check_accepting(attempt, place.target)
         except _NotAcceptingError:
-            self._placements.give_back(name, place.target, outcome)
+            self._placements.give_back(use_id, place.target, outcome)
             await self._wait_for_engine(attempt, place.target)
             raise
         destination = self._destination(
@@ -465,7 +467,7 @@
             """Report the time to the first piece of the answer, once."""
             attempt.on_first_piece = None
             first_s = self._clock.now() - placed_at
-            self._placements.begun(name, place.target, first_s)
+            self._placements.begun(use_id, place.target, first_s)
 
         attempt.on_first_piece = report_first_piece
         try:
@@ -476,7 +478,7 @@
             raise
         finally:
             attempt.on_first_piece = None
-            self._placements.give_back(name, place.target, outcome)
+            self._placements.give_back(use_id, place.target, outcome)
 
     def _check_accepting(self, attempt: _Attempt, target: str) -> None:
         """Raise if a target is leaving or paused.
@@ -617,9 +619,9 @@
             beside=self._running_by_target[attempt.target] - 1,
             error=error.message,
         )
-        resumable = attempt.route.kind is catalogue.RouteKind.STREAM
+        is_stream = attempt.route.kind is catalogue.RouteKind.STREAM
         if attempt.answer.started and not (
-            resumable and attempt.route.repeatable
+            is_stream and attempt.route.repeatable
         ):
             attempt.abort()
             return
@@ -668,13 +670,13 @@
             raise _InvalidAnswerError(
                 "The target could not resume the stream."
             )
-        streams = attempt.route.kind is catalogue.RouteKind.STREAM
-        whole = streams and attempt.route.resumable
+        is_stream = attempt.route.kind is catalogue.RouteKind.STREAM
+        whole_events_only = is_stream and attempt.route.resumable
         async for piece in exchange.pieces():
             attempt.record_piece(self._clock.now())
             if attempt.on_first_piece is not None:
                 attempt.on_first_piece()
-            if whole:
+            if whole_events_only:
                 piece = _complete_events(attempt, piece)
             if piece:
                 await attempt.answer.write(piece)
@@ -689,12 +691,12 @@
         self, attempt: _Attempt, parsed: _forward_types.ParsedHead
     ) -> None:
         """Record a drain or pause that a target announces in its answer."""
-        for said in (parsed.leaving, parsed.pause):
-            if said.invalid_value is not None:
+        for announced in (parsed.leaving, parsed.pause):
+            if announced.invalid_value is not None:
                 logging.info(
                     "route: Cannot parse status header from %s: %.80r",
                     attempt.target,
-                    said.invalid_value,
+                    announced.invalid_value,
                 )
         if not parsed.own:
             return
@@ -732,7 +734,7 @@
 def _abort_or_raise(
     attempt: _Attempt,
     reason: str,
-    if_it_ran: wire.ServingError,
+    error_if_ran: wire.ServingError,
     cause: wire.ServingError | None = None,
     retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
@@ -744,7 +746,7 @@
         raise wire.OverloadError(
             f"{reason}; it has not run.", retry_after_s=retry_after_s
         ) from cause
-    raise if_it_ran from cause
+    raise error_if_ran from cause
 
 
 def _unknown_outcome() -> wire.ServingError:
@@ -753,7 +755,7 @@
     )
 
 
-def _pause_s(attempt: _Attempt | None) -> float | None:
+def _longest_pause_s(attempt: _Attempt | None) -> float | None:
     """Return the longest gap within an answer, rounded for the log."""
     if attempt is None or not attempt.longest_pause_s:
         return None
@@ -769,9 +771,9 @@
 def _retryable(
     error: wire.ServingError, ran: wire.RunStatus
 ) -> _RetryableError:
-    following = _RetryableError(error.message, ran=ran)
-    following.code = error.code
-    return following
+    retryable = _RetryableError(error.message, ran=ran)
+    retryable.code = error.code
+    return retryable
 
 
 def _outcome_of(error: wire.ServingError) -> Outcome:
@@ -791,9 +793,9 @@
     if end < 0:
         attempt.partial_event = data
         return b""
-    whole = data[: end + len(EVENT_END)]
+    complete = data[: end + len(EVENT_END)]
     attempt.partial_event = data[end + len(EVENT_END) :]
-    for line in whole.split(b"\n"):
+    for line in complete.split(b"\n"):
         if line.startswith(ID_FIELD):
             attempt.last_event = line[len(ID_FIELD) :].strip().decode()
-    return whole
+    return complete
--- a/libs/routing/src/bergamotsail/routing/_placements.py
+++ b/libs/routing/src/bergamotsail/routing/_placements.py
@@ -71,11 +71,11 @@
         self._per_s = per_s
         self._clock = clock
         self._tokens = MIN_BURST
-        self._at = clock.now()
+        self._refilled_at = clock.now()
 
     def has_token(self) -> bool:
         """Whether a token is available without waiting."""
-        since_s = self._clock.now() - self._at
+        since_s = self._clock.now() - self._refilled_at
         return self._tokens + since_s * self._per_s() >= 1.0
 
     def reserve(self) -> float:
@@ -86,10 +86,10 @@
         """
         now = self._clock.now()
         per_s = self._per_s()
-        most = max(MIN_BURST, per_s * BURST_S)
-        grown = self._tokens + (now - self._at) * per_s
-        self._at = now
-        self._tokens = min(grown, most) - 1.0
+        capacity = max(MIN_BURST, per_s * BURST_S)
+        refilled = self._tokens + (now - self._refilled_at) * per_s
+        self._refilled_at = now
+        self._tokens = min(refilled, capacity) - 1.0
         return max(0.0, -self._tokens / per_s)
 
 
@@ -131,10 +131,10 @@
         # A daemon that has just started has not lost its leader.
         self._leader_heard_at = clock.now()
         self._limiter = AskRateLimiter(
-            lambda: MAX_ASKS_PER_S / self._daemons(), clock
+            lambda: MAX_ASKS_PER_S / self._daemon_count(), clock
         )
 
-    def _daemons(self) -> int:
+    def _daemon_count(self) -> int:
         """Return the number of daemons, including this one, at least 1."""
         return max(len(self._session.daemon_by_boot), 1)
 
@@ -165,9 +165,9 @@
         pause_s = ASK_RETRY_S
         last: wire.ServingError | None = None
         while (left_s := deadline - self._clock.now()) > 0:
-            known = self._place_without_leader(request, left_s)
-            if known is not None:
-                return self._register_use(request, known)
+            found = self._place_without_leader(request, left_s)
+            if found is not None:
+                return self._register_use(request, found)
             if self._survey_task is not None and not self._survey_task.done():
                 await self._clock.sleep(min(SURVEY_POLL_S, left_s))
                 continue
@@ -213,7 +213,7 @@
                 cached = self._cached_placement(request)
                 if cached is not None:
                     return self._register_use(request, cached)
-            await self._pause(min(pause_s, left_s))
+            await self._wait_to_retry(min(pause_s, left_s))
             pause_s = min(pause_s * 2, MAX_RETRY_PAUSE_S)
         raise wire.OverloadError(
             "No placement was granted in time. Retry later.",
@@ -236,12 +236,16 @@
         releases: placement.ReleaseRequest | None,
     ) -> None:
         """Requeue releases that the leader certainly did not process."""
-        unread = (wire.NotSentError, wire.NotLeaderError, wire.LoadShedError)
-        if releases is not None and isinstance(error, unread):
+        unprocessed = (
+            wire.NotSentError,
+            wire.NotLeaderError,
+            wire.LoadShedError,
+        )
+        if releases is not None and isinstance(error, unprocessed):
             self._ended.extendleft(reversed(releases.ended))
             self._begun.extendleft(reversed(releases.begun))
 
-    async def _pause(self, pause_s: float) -> None:
+    async def _wait_to_retry(self, pause_s: float) -> None:
         """Wait before the leader is asked again.
 
         One request of this daemon probes the leader after *pause_s*. The
@@ -259,8 +263,8 @@
 
     def _silent_s(self) -> float:
         """Return the time since any call last heard from a leader."""
-        heard_s = self._clock.now() - self._leader_heard_at
-        return min(heard_s, self._session.silent_s())
+        since_heard_s = self._clock.now() - self._leader_heard_at
+        return min(since_heard_s, self._session.silent_s())
 
     def _place_without_leader(
         self, request: placement.PlaceRequest, left_s: float
@@ -304,7 +308,7 @@
             request,
             known,
             self._session.view.named_version(request.model, request.adapter),
-            self._daemons(),
+            self._daemon_count(),
         )
 
     async def _run_survey(self, unasked: list[control.TargetInfo]) -> None:
@@ -437,7 +441,7 @@
         """Send releases in batches; heartbeats make up for a lost batch."""
         while True:
             await self._wake.wait()
-            spacing_s = self._daemons() / MAX_RELEASES_PER_S
+            spacing_s = self._daemon_count() / MAX_RELEASES_PER_S
             await self._clock.sleep(max(RELEASE_SPACING_S, spacing_s))
             self._wake.clear()
             message = self._take_releases()
--- a/libs/routing/src/bergamotsail/routing/_service_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_service_choice.py
@@ -119,8 +119,8 @@
         """Take one resend from the budget; False if it is exhausted."""
         requests = len(self._recent(self._requests_by_pool, pool))
         resends = self._recent(self._resends_by_pool, pool)
-        part = self._slack / max(self._daemons(), MIN_DAEMONS)
-        if len(resends) + 1 > self._ratio * requests + part:
+        slack_share = self._slack / max(self._daemons(), MIN_DAEMONS)
+        if len(resends) + 1 > self._ratio * requests + slack_share:
             return False
         resends.append(self._clock.now())
         return True
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -196,10 +196,10 @@
     ) -> ServiceResult:
         self._budgets.record_first_try(caller.member)
         tried: set[str] = set()
-        number = 0
+        tries = 0
         may_have_run = False
         while True:
-            number += 1
+            tries += 1
             try:
                 target = self._choose(call, service, tried)
                 tried.add(target.id)
@@ -215,9 +215,9 @@
                 elif may_have_run:
                     # This try did not run, but an earlier one may have.
                     error.ran = wire.RunStatus.UNKNOWN
-                pause_s = RETRY_PAUSE_S * number
+                pause_s = RETRY_PAUSE_S * tries
                 late = self._clock.now() + pause_s >= deadline
-                if number >= MAX_ATTEMPTS or late or not tracked.may_retry:
+                if tries >= MAX_ATTEMPTS or late or not tracked.may_retry:
                     raise
                 if isinstance(error, wire.QuarantinedError):
                     raise
@@ -244,10 +244,10 @@
                 f"No target of pool {service.pool} accepts work now.",
                 retry_after_s=1.0,
             )
-        fresh = [target for target in usable if target.id not in tried]
+        untried = [target for target in usable if target.id not in tried]
         order = control.rendezvous(call.request, [t.id for t in usable])
         chosen = min(
-            fresh or usable,
+            untried or usable,
             key=lambda t: (self._running_by_target[t.id], order.index(t.id)),
         )
         observe.log_decision(
--- a/libs/routing/src/bergamotsail/routing/_survey.py
+++ b/libs/routing/src/bergamotsail/routing/_survey.py
@@ -102,14 +102,14 @@
         self,
         request: placement.PlaceRequest,
         known: collections.abc.Mapping[str, control.TargetInfo],
-        named: int | None,
+        min_version: int | None,
         daemons: int,
     ) -> placement.PlaceReply | None:
         """Return the least loaded target that holds the requested model.
 
         Args:
             known: targets that accept work, by id.
-            named: the minimum version of the adapter, None for any.
+            min_version: the minimum version of the adapter, None for any.
             daemons: the number of daemons; each is assumed to have placed
                 as many requests on a target as this one.
         """
@@ -118,7 +118,7 @@
             info = known.get(target)
             if info is None or target in request.avoid:
                 continue
-            holds, version = _find_held(request, report, named)
+            holds, version = _find_held(request, report, min_version)
             if not holds:
                 continue
             load = (
@@ -141,13 +141,15 @@
 def _find_held(
     request: placement.PlaceRequest,
     report: targets.AdapterReport,
-    named: int | None,
+    min_version: int | None,
 ) -> tuple[bool, int | None]:
     """Return whether an engine holds the model, and the adapter version."""
     if not request.adapter:
         return request.model in report.models, None
     for held in report.adapters:
         if (held.model, held.adapter) == (request.model, request.adapter):
-            new_enough = named is None or (held.version or 0) >= named
+            new_enough = (
+                min_version is None or (held.version or 0) >= min_version
+            )
             return new_enough, held.version
     return False, None
