--- a/libs/routing/src/bergamotsail/routing/_admission.py
+++ b/libs/routing/src/bergamotsail/routing/_admission.py
@@ -198,7 +198,7 @@
         entry_id: str,
         left_s: float,
     ) -> collections.abc.AsyncIterator[None]:
-        """Hold a unit of each limit that applies, while inside.
+        """Admit a request, holding a unit of each limit that applies.
 
         Raises:
             LeaseLostError: the lease expired while the request was queued.
@@ -253,9 +253,9 @@
     def declare_run_bound(self) -> float:
         """Return a bound on the time until all present requests have ended.
 
-        The bound, in seconds, goes to the leader with a heartbeat. It
-        lowers a confirmed later bound at once, since the leader may have
-        received it even if no reply arrives.
+        The bound, in seconds, is sent to the leader with a heartbeat. If it
+        is earlier than the confirmed bound, it replaces that at once, since
+        the leader may have received it even if no reply arrives.
         """
         now = self._clock.now()
         waiting = [
@@ -334,6 +334,7 @@
                 queue.remove(waiter)
 
     def _return_if_taken(self, waiter: _Waiter) -> None:
+        """Return the units of a waiter cancelled just after its admission."""
         ready = waiter.ready
         taken = ready.done() and not ready.cancelled()
         if taken and ready.exception() is None:
@@ -341,7 +342,10 @@
                 self._share_by_key[key].give_back()
 
     async def _poll(self, ready: asyncio.Future) -> None:
-        """Recheck the queues periodically, for new tokens and the lease."""
+        """Recheck the queues until *ready* is done.
+
+        Rate limits regain tokens and the lease may expire in between.
+        """
         while not ready.done():
             await self._clock.sleep(POLL_S)
             self._admit_waiting()
--- a/libs/routing/src/bergamotsail/routing/_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_choice.py
@@ -57,12 +57,15 @@
 
 
 def is_pending(target: control.TargetInfo, adapter: str) -> bool:
-    """Whether requests wait there for the adapter to be loaded."""
+    """Whether requests wait for the adapter to be loaded on this target."""
     return target.status is not None and adapter in target.status.pending
 
 
 def cost_of(target: control.TargetInfo) -> float:
-    """Return the cost of a load there: eviction, pending loads and queue."""
+    """Return the cost of loading an adapter on this target.
+
+    It covers the eviction, the loads already pending and the queue.
+    """
     status = target.status
     if status is None:
         return 0.0
@@ -74,9 +77,9 @@
     """Prefers targets where the adapter is resident.
 
     All daemons compute the same choice for a cold adapter, so that its
-    requests reach one target and share one load. A second copy is loaded
-    only when the queue for the first outlasts a load: its load has reached
-    REPLICATE_LOAD, and another target has free slots.
+    requests reach one target and the adapter is loaded once. A second copy
+    is loaded only if waiting for the first takes longer than loading: its
+    target has reached REPLICATE_LOAD, and another target has free slots.
     """
 
     def __init__(self) -> None:
--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_entry.py
@@ -199,6 +199,7 @@
         started_at: float,
         last_at: float,
     ) -> float:
+        """Record the latency of a part; return its time of arrival."""
         now = self._clock.now()
         labels = {
             "member": attempt.caller.member,
@@ -237,7 +238,11 @@
     async def _back_off_or_raise(
         self, attempt: "_Attempt", tries: int, error: wire.ServingError
     ) -> None:
-        """Back off before the next try, or raise the final error."""
+        """Back off before the next try, or raise the final error.
+
+        Args:
+            tries: how many tries have failed.
+        """
         now = self._clock.now()
         if error.ran is not wire.RunStatus.NOT_RUN:
             attempt.may_have_run = True
@@ -307,8 +312,8 @@
             None if point is None else point.incarnation,
         )
         ended = False
-        # Stays true if the caller goes away or the deadline passes: the run
-        # is then cancelled at its owner, unless the last part was received.
+        # True if the caller goes away or the deadline passes: the run is then
+        # cancelled at its owner, unless the last part was received.
         given_up = True
         chunks = wire.monitored_stream(
             self._run(owner, request),
@@ -339,7 +344,10 @@
         request: placement.RunRequest,
         chunk: targets.Chunk,
     ) -> AnswerPart | None:
-        """Return a chunk as a part, or None if it is stale or foreign.
+        """Advance the stream by a chunk and return it as a part.
+
+        Returns None for a chunk that was received before or that belongs to
+        another stream or adapter.
 
         Raises:
             TruncatedError: a chunk is missing before this one.
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -21,7 +21,7 @@
 
 
 class TrackedRequest:
-    """Tracks the targets lost under one attempt of a request.
+    """Counts the targets lost while running one attempt of a request.
 
     Args:
         identity: computes the identity that the request shares with its
@@ -77,7 +77,8 @@
         """Refuse a request that is quarantined.
 
         Raises:
-            QuarantinedError: it is; says whether this attempt may have run.
+            QuarantinedError: the request is quarantined; the error says
+                whether this attempt may have run.
         """
         entry_by_id = self._session.view.quarantine_by_id
         entry = entry_by_id.get(tracked.identity) if entry_by_id else None
@@ -96,7 +97,7 @@
     async def exclusive(
         self, tracked: TrackedRequest, left_s: float
     ) -> collections.abc.AsyncIterator[None]:
-        """Keep other copies of a suspected request from running, while inside.
+        """Keep other copies of a suspected request from running meanwhile.
 
         If the call to the leader fails, the request runs without this
         guarantee.
@@ -105,7 +106,7 @@
             left_s: the remaining patience of the caller.
 
         Raises:
-            OtherCopyError: another copy still runs.
+            OtherCopyError: another copy of the request is still running.
         """
         ends = self._session.ends
         if not ends.any_suspect or not ends.suspected(tracked.identity):
@@ -116,7 +117,7 @@
         ):
             raise wire.OtherCopyError(
                 "Targets were lost while running this request, and another "
-                "copy of it is running. Retry when that has ended.",
+                "copy of it is running. Retry when that copy has ended.",
                 retry_after_s=EXCLUSIVE_RETRY_S,
                 ran=tracked.ran,
             )
@@ -161,7 +162,8 @@
         The loss of a target that is leaving is expected and not reported.
 
         Args:
-            incarnation: its name if the id of the target does not tell it.
+            incarnation: identifies the lost incarnation if the id of the
+                target does not.
         """
         tracked.losses += 1
         info = self._session.digest.target_by_id.get(target)
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -27,9 +27,10 @@
 MAX_SENDS = 6
 CONNECT_TIMEOUT_S = 0.5
 RETRY_AFTER_S = 0.5
-# An instance learns its routes 0.2 to 0.8 s after it starts serving, once it
-# hears a leader, also after a power loss of all instances. An earlier request
-# waits at most this long, and at most this share of its patience.
+# A starting instance receives its routes from the leader 0.2 to 0.8 s after
+# it begins to serve, also after a power loss of all instances. A request that
+# arrives before that waits at most this long, and at most this share of its
+# patience.
 ROUTES_WAIT_S = 0.8
 ROUTES_WAIT_SHARE = 0.25
 ROUTES_POLL_S = 0.01
@@ -83,6 +84,10 @@
 
     Args:
         age_s: estimate of how long the caller had been trying before.
+        sends: how often it was sent to a target.
+        runs: how many of the sends may have run.
+        partial_event: the received start of an incomplete event.
+        longest_pause_s: the longest gap between two pieces of the answer.
     """
 
     request: CallerRequest
@@ -321,9 +326,10 @@
             await self._try_service(attempt)
 
     def _may_repeat(self, attempt: _Attempt) -> bool:
-        """Whether route, lost-target limit and budget allow a resend.
+        """Whether the attempt may be sent again.
 
-        If so, takes one resend from the budget.
+        The route, the number of lost targets and the budget limit this. If
+        it may, one resend is taken from the budget.
         """
         if attempt.runs >= attempt.route.attempts:
             return False
@@ -426,7 +432,8 @@
         assert model is not None
         use_id = f"{request.id}.{attempt.placements}"
         attempt.placements += 1
-        # The leader, which grants placements, does not know about these.
+        # Targets that the leader, which grants placements, may not know to be
+        # leaving or paused.
         not_accepting = (
             *self._session.unreported_leaving(),
             *self._session.notices.paused(SHORT_PAUSE_S, self._clock.now()),
@@ -603,10 +610,10 @@
     def _handle_lost_answer(
         self, attempt: _Attempt, error: wire.ServingError
     ) -> None:
-        """Retry on another target if that is allowed, else abort.
+        """Abort an answer that has started and cannot be resumed.
 
         Raises:
-            _RetryableError: the attempt may be sent again.
+            _RetryableError: no answer has started, or it can be resumed.
         """
         observe.log_event(
             "route",
@@ -650,7 +657,7 @@
         if parsed.not_run:
             code = "absent" if parsed.absent else "refused"
             error = wire.OverloadError(
-                f"The target refused the request: {code}."
+                f"The target did not run the request ({code})."
             )
             error.code = code
             raise _retryable(error, wire.RunStatus.NOT_RUN)
@@ -694,7 +701,8 @@
         for announced in (parsed.leaving, parsed.pause):
             if announced.invalid_value is not None:
                 logging.info(
-                    "route: Cannot parse status header from %s: %.80r",
+                    "route: Cannot parse leaving or pause header from %s: "
+                    "%.80r",
                     attempt.target,
                     announced.invalid_value,
                 )
@@ -738,7 +746,12 @@
     cause: wire.ServingError | None = None,
     retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
-    """Abort an answer that has started, else raise the final error."""
+    """Abort an answer that has started, else raise the final error.
+
+    Raises:
+        OverloadError: no target ran the request.
+        ServingError: *error_if_ran*, as the request may have run.
+    """
     if attempt.answer.started:
         attempt.abort()
         return
@@ -756,7 +769,7 @@
 
 
 def _longest_pause_s(attempt: _Attempt | None) -> float | None:
-    """Return the longest gap within an answer, rounded for the log."""
+    """Return the longest gap between pieces of an answer, for the log."""
     if attempt is None or not attempt.longest_pause_s:
         return None
     return round(attempt.longest_pause_s, 4)
@@ -787,7 +800,10 @@
 
 
 def _complete_events(attempt: _Attempt, piece: bytes) -> bytes:
-    """Return the complete events so far and record the last event id."""
+    """Return the events that a piece completes and record the last event id.
+
+    The rest of the piece is kept as the start of the next event.
+    """
     data = attempt.partial_event + piece
     end = data.rfind(EVENT_END)
     if end < 0:
--- a/libs/routing/src/bergamotsail/routing/_forward_types.py
+++ b/libs/routing/src/bergamotsail/routing/_forward_types.py
@@ -136,11 +136,11 @@
     @property
     @abc.abstractmethod
     def started(self) -> bool:
-        """Whether the head has been sent."""
+        """Whether the head has been set."""
 
     @abc.abstractmethod
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head with the first piece, or at the end."""
+        """Set the head, which is sent with the first piece or at the end."""
 
     @abc.abstractmethod
     async def write(self, piece: bytes) -> None:
--- a/libs/routing/src/bergamotsail/routing/_placements.py
+++ b/libs/routing/src/bergamotsail/routing/_placements.py
@@ -17,19 +17,19 @@
 ASK_RETRY_S = 0.05
 MAX_RETRY_PAUSE_S = 0.3
 RELEASE_SPACING_S = 0.01
-# Approximate limit for all daemons together; the leader needs about 0.4 ms
-# to process a release.
+# Approximate limit of release messages of all daemons together; the leader
+# needs about 0.4 ms to process a release.
 MAX_RELEASES_PER_S = 300.0
 # Approximate limit for all daemons together, so that a new leader is not
 # flooded with placement requests.
 MAX_ASKS_PER_S = 600.0
-# Burst size of a daemon, however small its share of the rate is.
+# Minimum burst size of a daemon, however small its share of the rate is.
 MIN_BURST = 2.0
-# A daemon may send at once what it may send in this time.
+# Burst size, as the time in which a daemon's rate admits as many requests.
 BURST_S = 0.5
 # After a leader change a daemon may hold more requests than its rate admits.
-# In order of arrival all would miss their objective, so requests that have
-# already missed it poll for a spare token at this interval.
+# Served in order of arrival, all would miss their objective. So requests that
+# have already missed it poll for a spare token at this interval.
 LATE_POLL_S = 0.05
 # After the leader is lost, one request of each daemon probes for the next
 # leader; the others retry at this interval.
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -288,9 +288,9 @@
             return reply
 
     def _incarnation_name(self, target: control.TargetInfo) -> str:
-        """Return a name for the incarnation of a target just lost.
+        """Return a name for the incarnation of a target that was just lost.
 
-        If the instance list gives no start time, each loss is taken as that
+        Without a start time in the instance list, each loss counts as that
         of another incarnation.
         """
         if targets.Incarnation.of(target.id).start_time_ms is not None:
@@ -410,8 +410,8 @@
                 claim.member, claim.key, claim.attempt, state, outcome
             )
             recording = self._record_later(record)
-        # If the reply went out before the record is committed, a resend could
-        # miss it.
+        # If the reply were sent before the record is committed, a resend
+        # might not get the recorded outcome.
         await asyncio.wait(
             [recording], timeout=max(0.0, deadline - self._clock.now())
         )
@@ -424,7 +424,11 @@
         deadline: float,
         tracked: _fatal.TrackedRequest,
     ) -> targets.ServiceReply:
-        """Try targets in turn until one may have received the call."""
+        """Try targets in turn until one may have received the call.
+
+        Raises:
+            ServingError: says whether the call may have run.
+        """
         tried: set[str] = set()
         while True:
             self._session.check_fresh()
@@ -458,6 +462,7 @@
             task.exception()
 
     async def _record(self, record: catalogue.Record) -> None:
+        """Commit a record, retrying for up to RECORD_TIMEOUT_S."""
         command = catalogue.Command(record=record)
         give_up_at = self._clock.now() + RECORD_TIMEOUT_S
         await self._steps.reach(wire.Step.RECORD, wire.Phase.BEFORE)
@@ -493,7 +498,11 @@
 def _tracked(
     caller: _entry.Caller, call: ServiceCall, service: catalogue.Service
 ) -> _fatal.TrackedRequest:
-    """Return the tracking state of a call; its key is not part of it."""
+    """Return the tracking state of a call.
+
+    Its identity excludes the idempotency key, so that repeats of a call
+    under new keys are recognized.
+    """
     return _fatal.TrackedRequest(
         call.request,
         caller.member,
@@ -506,6 +515,11 @@
 
 
 def _replayed(reply: catalogue.ClaimReply) -> ServiceResult:
+    """Return the outcome recorded for a key.
+
+    Raises:
+        ServingError: there is none for this call; the error says why.
+    """
     outcome = reply.outcome
     if reply.state is State.DONE and outcome is not None:
         return ServiceResult(
--- a/libs/routing/src/bergamotsail/routing/_silence.py
+++ b/libs/routing/src/bergamotsail/routing/_silence.py
@@ -6,7 +6,8 @@
 """
 
 # An election takes 0.5 to 0.9 s while a majority is up, and each of 80
-# daemons hears the leader every 0.53 s, so shorter gaps usually end unaided.
+# daemons hears the leader every 0.53 s, so shorter gaps usually end by
+# themselves.
 LEADER_LOST_S = 1.5
 # A refused caller retries once or twice; an earlier retry would be wasted.
 MIN_RETRY_AFTER_S = 1.0
--- a/libs/routing/src/bergamotsail/routing/_survey.py
+++ b/libs/routing/src/bergamotsail/routing/_survey.py
@@ -52,7 +52,7 @@
             self._placed_by_target.clear()
 
     def discard(self, target: str) -> None:
-        """Discard the report of a target that lacked what it reported."""
+        """Discard the report of a target that lacks a reported adapter."""
         self._report_by_target.pop(target, None)
 
     def unasked(
@@ -93,7 +93,9 @@
             try:
                 report = await self._ask(info)
             except wire.ServingError as error:
-                logging.debug("survey: No report. %s", error.message)
+                logging.debug(
+                    "survey: No report from %s: %s", info.id, error.message
+                )
                 return
         if info.id in self._asked:
             self._report_by_target[info.id] = report
