--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -482,14 +482,14 @@
 
 
 def _put_fifo(
-    own: _ends._MemberSuspects, identity: str, suspect: quarantine.Suspect
+    suspects: _ends._MemberSuspects, identity: str, suspect: quarantine.Suspect
 ) -> str | None:
     """Append a suspect, and evict the oldest one if there are too many."""
-    own.drop(identity)
-    own.once[identity] = suspect
-    if len(own) <= _ends.MAX_SUSPECTS_PER_MEMBER:
+    suspects.drop(identity)
+    suspects.lost_once[identity] = suspect
+    if len(suspects) <= _ends.MAX_SUSPECTS_PER_MEMBER:
         return None
-    return own.once.popitem(last=False)[0]
+    return suspects.lost_once.popitem(last=False)[0]
 
 
 async def _do_nothing(_: object) -> None:
--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -54,14 +54,14 @@
 
     def _count(self) -> int:
         """Count losses since it was served; simultaneous ones count once."""
-        since = [
+        losses = [
             ended_at
             for ended_at in self.ended_at_by_target.values()
             if ended_at > self.served_at
         ]
         count = 0
         last_at = float("-inf")
-        for ended_at in sorted(since):
+        for ended_at in sorted(losses):
             if ended_at - last_at > COINCIDENCE_WINDOW_S:
                 count += 1
                 last_at = ended_at
@@ -80,30 +80,33 @@
     """
 
     def __init__(self) -> None:
-        self.once: _SuspectTable = collections.OrderedDict()
-        self.again: _SuspectTable = collections.OrderedDict()
+        self.lost_once: _SuspectTable = collections.OrderedDict()
+        self.lost_again: _SuspectTable = collections.OrderedDict()
 
     def get(self, identity: str) -> Suspect | None:
         """Return the suspect with this identity, or None."""
-        return self.once.get(identity) or self.again.get(identity)
+        return self.lost_once.get(identity) or self.lost_again.get(identity)
 
     def put(self, identity: str, suspect: Suspect) -> str | None:
         """Insert or update a suspect; return the evicted identity, if any."""
         self.drop(identity)
-        found = self.again if suspect.ends > 1 else self.once
-        found[identity] = suspect
-        if len(self.once) + len(self.again) <= MAX_SUSPECTS_PER_MEMBER:
+        table = self.lost_again if suspect.ends > 1 else self.lost_once
+        table[identity] = suspect
+        if (
+            len(self.lost_once) + len(self.lost_again)
+            <= MAX_SUSPECTS_PER_MEMBER
+        ):
             return None
-        evicted, _ = (self.once or self.again).popitem(last=False)
+        evicted, _ = (self.lost_once or self.lost_again).popitem(last=False)
         return evicted
 
     def drop(self, identity: str) -> None:
         """Remove a suspect, if present."""
-        self.once.pop(identity, None)
-        self.again.pop(identity, None)
+        self.lost_once.pop(identity, None)
+        self.lost_again.pop(identity, None)
 
     def __len__(self) -> int:
-        return len(self.once) + len(self.again)
+        return len(self.lost_once) + len(self.lost_again)
 
 
 class EndCounter:
@@ -131,11 +134,11 @@
     ) -> Suspect:
         """Record a daemon's observation and return the updated suspect."""
         identity, member = observation.identity, observation.member
-        own = self._by_member.setdefault(member, _MemberSuspects())
+        suspects = self._by_member.setdefault(member, _MemberSuspects())
         self._by_member.move_to_end(member)
-        suspect = own.get(identity) or Suspect(member, observation.pool)
+        suspect = suspects.get(identity) or Suspect(member, observation.pool)
         suspect.take(observation, now - observation.ended_ago_s)
-        evicted = own.put(identity, suspect)
+        evicted = suspects.put(identity, suspect)
         self._member_by_identity[identity] = member
         self._member_by_identity.move_to_end(identity)
         if evicted is not None:
@@ -154,7 +157,9 @@
         """Return identities of the most recently updated suspects."""
         if self._latest_suspects is None:
             latest = reversed(self._member_by_identity)
-            found = (one for one in latest if self.ends(one) > 0)
+            found = (
+                identity for identity in latest if self.ends(identity) > 0
+            )
             self._latest_suspects = tuple(
                 itertools.islice(found, MAX_REPORTED_SUSPECTS)
             )
@@ -183,8 +188,8 @@
         )
 
     def _forget_member(self, member: str) -> None:
-        own = self._by_member.pop(member)
-        for identity in (*own.once, *own.again):
+        suspects = self._by_member.pop(member)
+        for identity in (*suspects.lost_once, *suspects.lost_again):
             self._member_by_identity.pop(identity, None)
 
     def __len__(self) -> int:
--- a/libs/quarantine/src/bergamotsail/quarantine/_observations.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_observations.py
@@ -119,13 +119,15 @@
         quarantine them again although an operator had released them.
         """
         if identities and any(
-            seen.run.identity in identities for seen in self._buffer
+            noted.run.identity in identities for noted in self._buffer
         ):
-            left = [
-                s for s in self._buffer if s.run.identity not in identities
+            kept = [
+                noted
+                for noted in self._buffer
+                if noted.run.identity not in identities
             ]
             self._buffer.clear()
-            self._buffer.extend(left)
+            self._buffer.extend(kept)
             self._lost_locally -= identities
 
     def pending(self, term: int) -> tuple[int, tuple[Observation, ...]]:
@@ -138,13 +140,13 @@
             self._reported_term, self._acknowledged_number = term, 0
         now = self._clock.now()
         new = [
-            seen
-            for seen in self._buffer
-            if seen.number > self._acknowledged_number
+            noted
+            for noted in self._buffer
+            if noted.number > self._acknowledged_number
         ]
         batch = new[:MAX_REPORTED_OBSERVATIONS]
         last = batch[-1].number if batch else self._acknowledged_number
-        return last, tuple(_observation(seen, now) for seen in batch)
+        return last, tuple(_observation(noted, now) for noted in batch)
 
     def acknowledge(self, term: int, number: int) -> None:
         """Mark observations up to a number as received by the leader."""
@@ -159,13 +161,13 @@
             self._lost_locally.clear()
 
 
-def _observation(seen: _NumberedObservation, now: float) -> Observation:
-    run = seen.run
+def _observation(noted: _NumberedObservation, now: float) -> Observation:
+    run = noted.run
     return Observation(
         run.identity,
         run.member,
         run.pool,
         run.target,
-        now - seen.ended_at,
-        seen.end,
+        now - noted.ended_at,
+        noted.end,
     )
