--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -6,28 +6,28 @@
     Then no promise is broken
 
     Examples:
-      | scenario                 |
-      | any_order                |
-      | one_event_counts_once    |
-      | strange_words            |
-      | members_apart            |
-      | comes_again              |
-      | at_all_at_once           |
-      | leader_lost_before_third |
-      | leader_lost_after_third  |
-      | all_without_power        |
-      | under_its_name           |
-      | two_members              |
-      | within_one_attempt       |
-      | beside_it                |
-      | popular_in_a_rack        |
-      | runs_again_later         |
-      | operator_releases        |
-      | released_for_good        |
-      | served_before            |
-      | random_loads             |
-      | fatal_prompt             |
-      | fatal_call               |
+      | scenario                         |
+      | any_order                        |
+      | simultaneous_crashes_count_once  |
+      | extreme_ages                     |
+      | members_are_isolated             |
+      | repeated_request                 |
+      | simultaneous_copies              |
+      | leader_lost_before_third         |
+      | leader_lost_after_third          |
+      | full_restart                     |
+      | same_name_restarts               |
+      | two_members                      |
+      | within_one_attempt               |
+      | concurrent_requests              |
+      | popular_request_in_a_failed_rack |
+      | runs_again_after_hold            |
+      | operator_releases                |
+      | release_survives_new_leader      |
+      | earlier_success                  |
+      | random_faults                    |
+      | fatal_prompt                     |
+      | fatal_call                       |
 
   Scenario: Every disabled guard against such requests is noticed
     When each guard against requests that crash targets is disabled
--- a/features/steps/decisions.py
+++ b/features/steps/decisions.py
@@ -6,16 +6,16 @@
 
 
 @behave.when('the load "{load}" is played against the decisions')
-def play(context, load: str) -> None:
-    context.faults = decisions.LOADS[load]()
+def run_scenario(context, load: str) -> None:
+    context.faults = decisions.SCENARIOS[load]()
 
 
 @behave.then("callers get what it states")
-def as_stated(context) -> None:
+def check_faults(context) -> None:
     assert not context.faults, context.faults
 
 
 @behave.then("each switched-off mechanism breaks its load")
-def each_breaks(context) -> None:
-    unnoticed = decisions.unnoticed_switches()
-    assert not unnoticed, unnoticed
+def check_switches(context) -> None:
+    undetected = decisions.undetected_switches()
+    assert not undetected, undetected
--- a/features/steps/sight.py
+++ b/features/steps/sight.py
@@ -11,5 +11,5 @@
 
 
 @behave.then("its events and metrics are complete")
-def told(context) -> None:
+def check_events(context) -> None:
     assert not context.faults, context.faults
--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -91,7 +91,7 @@
     return sum(errors[50:]) / len(errors[50:])
 
 
-def faster(learns: bool = True) -> list[str]:
+def learns_fast_engine(learns: bool = True) -> list[str]:
     """The speed of an engine that reads 38,000 tokens/s is learned.
 
     The mean error of the estimated time to first token is 0.12 s with the
@@ -101,7 +101,7 @@
     return [] if error_s < 0.02 else [f"mean error of {error_s:.3f} s"]
 
 
-def turns_slow() -> list[str]:
+def learns_slowdown() -> list[str]:
     """A fourfold slowdown of an engine is learned in 2 s.
 
     A prompt that takes it 0.42 s is then estimated at over 0.2 s; one
@@ -119,7 +119,7 @@
     return [] if estimated_s > 0.2 else [f"estimated {estimated_s:.3f} s"]
 
 
-def slow_again() -> list[str]:
+def slow_engine_recovers() -> list[str]:
     """The estimate of a slow engine returns to its peers' in a minute."""
     pool = _pace.PoolPace()
     slow, other = _pace.Reading(pool), _pace.Reading(pool)
@@ -185,7 +185,7 @@
     return faults[:1]
 
 
-def silent() -> list[str]:
+def unanswered_prompt() -> list[str]:
     """The estimated backlog of an engine without answers keeps growing."""
     reading = _pace.Reading(_pace.PoolPace())
     reading.add(("e", "1"), 1_000, 0, 100.0)
@@ -195,7 +195,7 @@
     return []
 
 
-def urgent() -> list[str]:
+def urgent_prompt() -> list[str]:
     """An urgent prompt is not estimated to wait for less urgent ones.
 
     Behind five prompts of 9,000 tokens it is estimated to be read at once;
@@ -211,7 +211,7 @@
     return []
 
 
-def read_between() -> list[str]:
+def short_prompt_overtakes() -> list[str]:
     """A prompt read first doesn't skew the learned pace of a delayed one."""
     reading = _pace.Reading(_pace.PoolPace())
     now = 100.0
@@ -289,7 +289,7 @@
         return decision
 
 
-def asked_by_all(spread: bool = True) -> list[str]:
+def popular_adapter(spread: bool = True) -> list[str]:
     """A second copy is loaded once a queue builds up at the first.
 
     Without further copies, 12 simultaneous requests for one adapter all
@@ -311,7 +311,7 @@
     return [] if longest_s < 0.5 else [f"a queue of {longest_s:.2f} s"]
 
 
-def wanted_by_others() -> list[str]:
+def keeps_wanted_adapters() -> list[str]:
     """A further copy evicts no adapter that other requests wait for."""
     engines = Engines(2)
     engines.hold("e0", "a1")
@@ -325,7 +325,7 @@
     return [] if isinstance(decision, _decisions.Run) else [str(decision)]
 
 
-def on_its_way() -> list[str]:
+def copy_is_loading() -> list[str]:
     """A request waits for a copy that is loading; it loads no second."""
     engines = Engines(3)
     slot = _holding.Slot(
@@ -363,7 +363,7 @@
 # Requests that arrive before the first route table.
 
 
-def _starting(routes_after_s: float | None) -> tuple[str, float]:
+def _send_before_routes(routes_after_s: float | None) -> tuple[str, float]:
     """Send a request to a starting instance; return code and seconds."""
 
     async def run() -> tuple[str, float]:
@@ -408,21 +408,21 @@
         return loop.run_until_complete(run())
 
 
-def starts() -> list[str]:
+def early_request() -> list[str]:
     """A request that arrives 0.4 s before the routes waits for them.
 
     A refusal would tell it to retry after 1.5 s, later than any objective.
     Here the lookup that follows finds no route, hence ``not_found``.
     """
-    code, took_s = _starting(0.4)
+    code, took_s = _send_before_routes(0.4)
     if code != "not_found" or took_s > 0.45:
         return [f"{code} after {took_s:.2f} s"]
     return []
 
 
-def never_starts() -> list[str]:
+def no_routes() -> list[str]:
     """Without routes a request is refused as overloaded after 0.8 s."""
-    code, took_s = _starting(None)
+    code, took_s = _send_before_routes(None)
     if code != "overloaded" or not 0.7 < took_s < 0.9:
         return [f"{code} after {took_s:.2f} s"]
     return []
@@ -469,7 +469,7 @@
     )
 
 
-def lost_leader() -> list[str]:
+def no_leader() -> list[str]:
     """A call budget limits how often daemons ask while there is no leader.
 
     83 daemons with 8 requests each make no more calls in 2 s than the budget
@@ -501,7 +501,7 @@
     )
 
 
-def long_silence() -> list[str]:
+def no_leader_for_long() -> list[str]:
     """Requests are refused early once the leader has been lost for long.
 
     There is no leader for 10 s, while requests arrive that can wait 3 s.
@@ -556,7 +556,7 @@
     )
 
 
-def surveyed(asks: bool = True) -> list[str]:
+def placed_by_survey(asks: bool = True) -> list[str]:
     """Without a leader requests go to engines that report the adapter.
 
     Of four engines one holds the adapter, one an older version than the
@@ -642,7 +642,7 @@
         raise NotImplementedError
 
 
-def late_wait() -> list[str]:
+def late_requests_wait() -> list[str]:
     """A daemon asks for its late requests after the others.
 
     Each of 83 daemons may make 7 calls a second. Ten late requests arrive,
@@ -673,7 +673,7 @@
     return [] if last_fresh <= 6 else [f"asked in the order {order}"]
 
 
-def behind() -> list[str]:
+def lagging_daemon() -> list[str]:
     """A daemon whose event loop lags sheds only calls that can wait."""
     server = wire.PeerServer()
 
@@ -716,7 +716,7 @@
         await asyncio.sleep(seconds)
 
 
-def hundreds_wait() -> list[str]:
+def many_waiters() -> list[str]:
     """Decisions for hundreds of waiters yield to the event loop between.
 
     If each decision takes 4 ms, one turn decides for a few of 200 waiters.
@@ -754,34 +754,34 @@
     return []
 
 
-LOADS = {
-    "nobody leads": lost_leader,
-    "nobody leads for long": long_silence,
-    "nobody leads while engines hold what is asked for": surveyed,
-    "late requests ask beside others": late_wait,
-    "a daemon is behind": behind,
-    "hundreds wait": hundreds_wait,
-    "an engine reads faster than the first belief": faster,
-    "an engine turns slow": turns_slow,
-    "a slow engine is believed like its peers again": slow_again,
-    "answers come in any order and at any time": any_order,
-    "an engine falls silent": silent,
-    "an urgent prompt comes behind long ones": urgent,
-    "a short prompt is read between": read_between,
-    "one adapter is asked for by all": asked_by_all,
-    "an adapter is wanted by others while one is busy": wanted_by_others,
-    "a copy is on its way": on_its_way,
-    "six hundred engines": many_engines,
-    "an instance starts before its routes are known": starts,
-    "an instance never hears of routes": never_starts,
+SCENARIOS = {
+    "there is no leader": no_leader,
+    "there is no leader for ten seconds": no_leader_for_long,
+    "there is no leader but engines hold the adapter": placed_by_survey,
+    "late requests compete with others": late_requests_wait,
+    "the event loop of a daemon lags": lagging_daemon,
+    "hundreds of requests wait for placement": many_waiters,
+    "an engine is faster than initially estimated": learns_fast_engine,
+    "an engine slows down": learns_slowdown,
+    "a slow engine gets no more requests for a minute": slow_engine_recovers,
+    "events arrive in any order": any_order,
+    "an engine stops answering": unanswered_prompt,
+    "an urgent prompt follows long ones": urgent_prompt,
+    "a short prompt overtakes a long one": short_prompt_overtakes,
+    "all requests are for one adapter": popular_adapter,
+    "a further copy would evict wanted adapters": keeps_wanted_adapters,
+    "a copy is loading": copy_is_loading,
+    "there are six hundred engines": many_engines,
+    "a request arrives before the routes": early_request,
+    "routes never arrive": no_routes,
 }
 
 
-def unnoticed_switches() -> list[str]:
+def undetected_switches() -> list[str]:
     """Return the mechanisms whose load passes without them."""
     switched_off = {
-        "learned pace": faster(learns=False),
-        "further copies": asked_by_all(spread=False),
-        "engines are asked": surveyed(asks=False),
+        "learned pace": learns_fast_engine(learns=False),
+        "further copies": popular_adapter(spread=False),
+        "engines are asked": placed_by_survey(asks=False),
     }
     return [name for name, faults in switched_off.items() if not faults]
--- a/features/support/fatal.py
+++ b/features/support/fatal.py
@@ -49,19 +49,19 @@
 
 
 def _crashing(
-    ended: list[str],
+    crashed: list[str],
 ) -> collections.abc.Callable[..., object]:
     """Return a replacement for _find_or_start that crashes on FATAL.
 
     Args:
-        ended: gets the stream id of each fatal run.
+        crashed: gets the stream id of each fatal run.
     """
     start = standins.EngineStandIn._find_or_start
 
     def start_or_crash(engine: standins.EngineStandIn, run: targets.Run):
         sequence = start(engine, run)
         if run.prompt.text == FATAL:
-            ended.append(run.stream_id)
+            crashed.append(run.stream_id)
             asyncio.get_running_loop().call_later(CRASH_S, engine.restart)
         return sequence
 
@@ -70,22 +70,22 @@
 
 async def fatal_prompt(seed: int = 1) -> list[str]:
     """A prompt that crashes each engine that runs it is quarantined."""
-    ended: list[str] = []
+    crashed: list[str] = []
     crashing = unittest.mock.patch.object(
-        standins.EngineStandIn, "_find_or_start", _crashing(ended)
+        standins.EngineStandIn, "_find_or_start", _crashing(crashed)
     )
     with crashing:
         async with SimulatedCluster(_settings(seed)) as world:
-            got = []
+            outcomes = []
             for number in range(REPEATS):
-                got.append(await _ask(world, number, FATAL))
+                outcomes.append(await _ask(world, number, FATAL))
                 await asyncio.sleep(2.0)
             other = await _ask(world, REPEATS, "another prompt")
     faults = []
-    if len(ended) > MAX_CRASHES:
-        faults.append(f"{len(ended)} engines crashed, outcomes {got}")
-    if got[-1] != "quarantined":
-        faults.append(f"not quarantined at the end: {got}")
+    if len(crashed) > MAX_CRASHES:
+        faults.append(f"{len(crashed)} engines crashed, outcomes {outcomes}")
+    if outcomes[-1] != "quarantined":
+        faults.append(f"not quarantined at the end: {outcomes}")
     if other != "served":
         faults.append(f"another prompt got {other}")
     return faults
@@ -96,12 +96,12 @@
 
     Another call still gets the response recorded under its key.
     """
-    ended: list[str] = []
+    crashed: list[str] = []
     do_call = standins.ServiceStandIn.call
 
     async def call_or_crash(service, method, path, headers, body):
         if body == FATAL.encode():
-            ended.append(path)
+            crashed.append(path)
             await asyncio.sleep(CRASH_S)
             raise wire.PeerLostError("The service restarted.")
         return await do_call(service, method, path, headers, body)
@@ -111,17 +111,17 @@
     )
     with crashing:
         async with SimulatedCluster(_settings(seed)) as world:
-            got = []
+            outcomes = []
             for number in range(REPEATS):
-                got.append(await _call(world, number, FATAL.encode()))
+                outcomes.append(await _call(world, number, FATAL.encode()))
                 await asyncio.sleep(2.0)
             others = [
                 await _call(world, REPEATS, b"{}"),
                 await _call(world, REPEATS, b"{}"),
             ]
     faults = []
-    if len(ended) > MAX_CRASHES or got[-1] != "quarantined":
-        faults.append(f"{len(ended)} fatal calls ran, outcomes {got}")
+    if len(crashed) > MAX_CRASHES or outcomes[-1] != "quarantined":
+        faults.append(f"{len(crashed)} fatal calls ran, outcomes {outcomes}")
     if others != ["served", "replayed"]:
         faults.append(f"another call got {others}")
     return faults
@@ -151,7 +151,7 @@
 
 
 # A mutant's patch: no daemon sees a quarantined request in the catalogue.
-NOTHING_HELD = (
+NO_QUARANTINE_VISIBLE = (
     catalogue.View,
     "quarantine_by_id",
     property(lambda view: {}),
--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -31,7 +31,7 @@
 # request caused, it may reach targets at most three times more.
 REACTION_S = 3.0
 MAX_LATE_ARRIVALS = 3
-MAX_ENDS = 3
+QUARANTINE_CRASHES = 3
 
 
 @dataclasses.dataclass(slots=True)
@@ -54,7 +54,7 @@
         self.up = True
         self.keeps_name = False
         self._world = world
-        self._ended = asyncio.Event()
+        self._disconnected = asyncio.Event()
 
     @property
     def id(self) -> str:
@@ -67,36 +67,39 @@
         """Return the entry of the target in the instance list."""
         return targets.Instance(self.id, POOL, self.address, self.datacentre)
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """Crash, failing all running requests; restart after DOWN_S."""
         if not self.up:
             return
         self.up = False
-        self._ended.set()
+        self._disconnected.set()
         asyncio.get_running_loop().call_later(DOWN_S, self._restart)
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Drop all connections without a crash."""
-        self._ended.set()
-        self._ended = asyncio.Event()
+        self._disconnected.set()
+        self._disconnected = asyncio.Event()
 
     def _restart(self) -> None:
         self.start += 1
         self.up = True
-        self._ended = asyncio.Event()
+        self._disconnected = asyncio.Event()
 
     async def run(self, body: bytes) -> bool:
         """Run a request; return whether it ended before its connection did."""
         loop = asyncio.get_running_loop()
-        ended, start = self._ended, self.start
+        disconnected, start = self._disconnected, self.start
         self._world.arrivals.append(Arrival(loop.time(), body, self.id))
         fatal = body in self._world.fatal
         took_s = CRASH_S if fatal else RUN_S
-        if await wire.wait_event(ended, took_s) or ended.is_set():
+        if (
+            await wire.wait_event(disconnected, took_s)
+            or disconnected.is_set()
+        ):
             return False
         if fatal and start == self.start:
-            self._world.ended.append(Arrival(loop.time(), body, self.id))
-            self.end()
+            self._world.crashes.append(Arrival(loop.time(), body, self.id))
+            self.crash()
             return False
         return True
 
@@ -170,7 +173,7 @@
 
     def __init__(self) -> None:
         self._started = False
-        self.whole = False
+        self.finished = False
 
     @property
     def started(self) -> bool:
@@ -183,7 +186,7 @@
         return None
 
     async def finish(self) -> None:
-        self.whole = True
+        self.finished = True
 
     def abort(self) -> None:
         return None
@@ -225,7 +228,7 @@
         await self.session.__aexit__()
 
 
-class _List(targets.InstanceList):
+class _CurrentList(targets.InstanceList):
     """An instance list that never lags."""
 
     def __init__(self, world: "World") -> None:
@@ -248,9 +251,9 @@
         super().__init__(3, seed, losses=1)
         self.fatal: set[bytes] = set()
         self.arrivals: list[Arrival] = []
-        self.ended: list[Arrival] = []
+        self.crashes: list[Arrival] = []
         self.targets = [Target(number, self) for number in range(count)]
-        self.instances = _List(self)
+        self.instances = _CurrentList(self)
         self.entries: list[_Entry] = []
         self.dialect: routing.Dialect = Dialect()
         self._entry_count = entries
@@ -336,11 +339,11 @@
         self, body: bytes, times: int, gap_s: float = 1.0, caller: str = "m1"
     ) -> list[str]:
         """Send a request repeatedly; return the outcome of each."""
-        found = []
+        outcomes = []
         for _ in range(times):
-            found.append(await self.ask(body, caller=caller))
+            outcomes.append(await self.ask(body, caller=caller))
             await asyncio.sleep(gap_s)
-        return found
+        return outcomes
 
     def quarantined(self) -> set[str]:
         """Return the ids of quarantined requests, as applied from the log."""
@@ -354,18 +357,22 @@
         Args:
             most: arrivals allowed later than REACTION_S after that crash.
         """
-        ends = [end.at for end in self.ended if end.body == body]
-        third = sorted(ends)[MAX_ENDS - 1] if len(ends) >= MAX_ENDS else None
-        if third is None:
-            return [f"the request crashed only {len(ends)} targets"]
+        crashed_at = [crash.at for crash in self.crashes if crash.body == body]
+        third_at = (
+            sorted(crashed_at)[QUARANTINE_CRASHES - 1]
+            if len(crashed_at) >= QUARANTINE_CRASHES
+            else None
+        )
+        if third_at is None:
+            return [f"the request crashed only {len(crashed_at)} targets"]
         late = [
             arrival
             for arrival in self.arrivals
-            if arrival.body == body and arrival.at > third + REACTION_S
+            if arrival.body == body and arrival.at > third_at + REACTION_S
         ]
         if len(late) > most:
             return [
                 f"{len(late)} requests reached targets too late,"
-                f" {len(ends)} crashes"
+                f" {len(crashed_at)} crashes"
             ]
         return []
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -155,17 +155,17 @@
             allowed_s: how long after the first entry learned of it the
                 other entries may still send; 0 skips that check.
         """
-        told: dict[tuple[int, str], float] = {}
-        first: dict[str, float] = {}
+        told_at_by_pair: dict[tuple[int, str], float] = {}
+        first_told_at: dict[str, float] = {}
         faults = set()
         for arrival in self.reached:
             if not arrival.leaving:
                 continue
             key = (arrival.entry, arrival.target)
-            heard = told.setdefault(key, arrival.at)
-            first_at = first.setdefault(arrival.target, arrival.at)
+            told_at = told_at_by_pair.setdefault(key, arrival.at)
+            first_at = first_told_at.setdefault(arrival.target, arrival.at)
             # Requests in flight at that moment may still arrive.
-            if arrival.at > heard + fatal_world.RUN_S:
+            if arrival.at > told_at + fatal_world.RUN_S:
                 faults.add(
                     f"entry {arrival.entry} kept sending to a leaving target"
                 )
@@ -184,11 +184,13 @@
             by_pair[(arrival.entry, arrival.target)].append(arrival)
         faults = []
         for (entry, target), arrivals in by_pair.items():
-            for told in arrivals:
+            for refused in arrivals:
                 late = [
                     a
                     for a in arrivals
-                    if told.at + IN_FLIGHT_S < a.at < told.at + told.pause_s
+                    if refused.at + IN_FLIGHT_S
+                    < a.at
+                    < refused.at + refused.pause_s
                 ]
                 if len(late) > MAX_SENDS_IN_PAUSE:
                     faults.append(
@@ -202,9 +204,9 @@
     """All entries stop sending once one learns of it, ahead of the list."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
-        ended = await world.send_requests(LIST_LAG_S + 2.0, 0.02)
+        outcomes = await world.send_requests(LIST_LAG_S + 2.0, 0.02)
         faults = world.sends_after_leaving(PROPAGATION_S)
-        return faults + _unserved(ended, 0)
+        return faults + _unserved(outcomes, 0)
 
 
 async def leaving_while_cut_off() -> list[str]:
@@ -213,11 +215,11 @@
         world.network.isolate(world.entries[0].session.daemon.address)
         await asyncio.sleep(3.0)
         world.leaving.add(world.targets[0].id)
-        ended = await world.send_requests(3.0, 0.05, at=0)
-        return world.sends_after_leaving() + _unserved(ended, 0)
+        outcomes = await world.send_requests(3.0, 0.05, at=0)
+        return world.sends_after_leaving() + _unserved(outcomes, 0)
 
 
-async def leaving_over_a_leader() -> list[str]:
+async def leaving_across_leader_change() -> list[str]:
     """Entries report a leaving target again to a new leader."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
@@ -226,7 +228,7 @@
         await world.stop(
             next(a for a, n in world.node_by_address.items() if n is leader)
         )
-        ended = await world.send_requests(6.0, 0.05)
+        outcomes = await world.send_requests(6.0, 0.05)
         infos = world.entries[1].session.digest.target_by_id
         info = infos[world.targets[0].id]
         faults = (
@@ -234,10 +236,10 @@
             if info.leaving
             else ["the new leader does not know that the target is leaving"]
         )
-        return faults + world.sends_after_leaving() + _unserved(ended, 0)
+        return faults + world.sends_after_leaving() + _unserved(outcomes, 0)
 
 
-async def next_start_takes_work() -> list[str]:
+async def next_incarnation_gets_requests() -> list[str]:
     """The leaving state of one incarnation does not apply to the next."""
     async with World(count=2) as world:
         target = world.targets[0]
@@ -245,12 +247,12 @@
         await asyncio.sleep(LIST_LAG_S + 1.0)
         world.leaving.add(target.id)
         await world.send_requests(2.0, 0.05)
-        target.end()
+        target.crash()
         await asyncio.sleep(LIST_LAG_S + 4.0)
-        ended = await world.send_requests(2.0, 0.05)
+        outcomes = await world.send_requests(2.0, 0.05)
         again = [a for a in world.reached if a.target == target.id]
         faults = [] if again else ["the next incarnation got no requests"]
-        return faults + world.sends_after_leaving() + _unserved(ended, 0)
+        return faults + world.sends_after_leaving() + _unserved(outcomes, 0)
 
 
 async def paused() -> list[str]:
@@ -259,25 +261,25 @@
         target = world.targets[0].id
         world.pause_by_target[target] = 8.0
         loop = asyncio.get_running_loop()
-        ended = await world.send_requests(9.0, 0.01)
+        outcomes = await world.send_requests(9.0, 0.01)
         del world.pause_by_target[target]
         ended_at = loop.time()
-        ended += await world.send_requests(10.0, 0.01)
+        outcomes += await world.send_requests(10.0, 0.01)
         back = [
             a
             for a in world.reached
             if a.target == target and a.at > ended_at + 8.1
         ]
         faults = [] if back else ["the target got no requests after its pause"]
-        return faults + world.sends_in_pauses() + _unserved(ended, 0)
+        return faults + world.sends_in_pauses() + _unserved(outcomes, 0)
 
 
-async def paused_by_forty() -> list[str]:
+async def paused_for_forty_entries() -> list[str]:
     """A target that pauses forty daemons gets few requests from each."""
     async with World(entries=40, count=4) as world:
         world.pause_by_target[world.targets[0].id] = 2.0
-        ended = await world.send_requests(5.0, 0.01)
-        return world.sends_in_pauses() + _unserved(ended, 0)
+        outcomes = await world.send_requests(5.0, 0.01)
+        return world.sends_in_pauses() + _unserved(outcomes, 0)
 
 
 async def all_paused() -> list[str]:
@@ -287,8 +289,8 @@
             world.pause_by_target[target.id] = 1.0
         await world.send_requests(0.5, 0.02)
         world.pause_by_target.clear()
-        ended = await world.send_requests(2.0, 0.05)
-        return world.sends_in_pauses() + _unserved(ended, 0)
+        outcomes = await world.send_requests(2.0, 0.05)
+        return world.sends_in_pauses() + _unserved(outcomes, 0)
 
 
 async def all_paused_for_long() -> list[str]:
@@ -330,14 +332,14 @@
         return faults + world.sends_in_pauses()
 
 
-async def paused_in_an_election() -> list[str]:
+async def paused_without_leader() -> list[str]:
     """Pauses are obeyed while there is no leader."""
     async with World() as world:
         for address in world.addresses[:2]:
             await world.stop(address)
         world.pause_by_target[world.targets[0].id] = 2.0
-        ended = await world.send_requests(5.0, 0.02)
-        return world.sends_in_pauses() + _unserved(ended, 0)
+        outcomes = await world.send_requests(5.0, 0.02)
+        return world.sends_in_pauses() + _unserved(outcomes, 0)
 
 
 class _FakePlacer:
@@ -350,10 +352,10 @@
         self.wait_s = 0.0
 
     async def take(
-        self, asked: placement.PlaceRequest
+        self, request: placement.PlaceRequest
     ) -> placement.PlaceReply:
         for target in self._world.targets:
-            if target.id in asked.avoid:
+            if target.id in request.avoid:
                 continue
             await asyncio.sleep(self.wait_s)
             self.granted.append(target.id)
@@ -396,8 +398,8 @@
             catalogue.EngineSpec(64, 1000, 1.0, 6, 1.0),
         )
         table = entry.session.view.routes.table
-        changed = catalogue.RouteTable(2, table.routes, (pool,))
-        await fatal_world.growth._replace_table(world, changed)
+        new_table = catalogue.RouteTable(2, table.routes, (pool,))
+        await fatal_world.growth._replace_table(world, new_table)
         await asyncio.sleep(1.0)
         model = routing.ModelPart("m", "a", 1, 1)
         request = routing.CallerRequest(
@@ -415,7 +417,7 @@
         return reached, placer, loop.time() - started_at
 
 
-async def leaving_while_a_place_is_waited_for() -> list[str]:
+async def leaving_during_placement() -> list[str]:
     """A place granted at a target that is leaving is released unused.
 
     The request then runs at another target.
@@ -470,13 +472,13 @@
             elif what == 2:
                 world.pause_by_target.clear()
             elif target.up:
-                target.end()
+                target.crash()
         world.pause_by_target.clear()
         await asking
         return world.sends_after_leaving() + world.sends_in_pauses()
 
 
-async def some_random_words() -> list[str]:
+async def random_events() -> list[str]:
     """Run random_target_events with six seeds."""
     faults: list[str] = []
     for seed in range(6):
@@ -484,8 +486,8 @@
     return faults
 
 
-def _unserved(ended: list[str], most: int) -> list[str]:
-    failed = collections.Counter(code for code in ended if code != "served")
+def _unserved(outcomes: list[str], most: int) -> list[str]:
+    failed = collections.Counter(code for code in outcomes if code != "served")
     return [f"not served: {dict(failed)}"] if failed.total() > most else []
 
 
@@ -494,17 +496,17 @@
     for scenario in (
         leaving_ahead_of_the_list,
         leaving_while_cut_off,
-        leaving_over_a_leader,
-        next_start_takes_work,
+        leaving_across_leader_change,
+        next_incarnation_gets_requests,
         paused,
-        paused_by_forty,
+        paused_for_forty_entries,
         all_paused,
         all_paused_for_long,
-        paused_in_an_election,
-        leaving_while_a_place_is_waited_for,
+        paused_without_leader,
+        leaving_during_placement,
         short_pause_is_waited_out,
         long_pause_is_avoided,
-        some_random_words,
+        random_events,
     )
 }
 
@@ -538,7 +540,7 @@
     ),
     (
         "told again",
-        "leaving_over_a_leader",
+        "leaving_across_leader_change",
         TargetNotices,
         "unreported",
         lambda *_: (),
@@ -546,7 +548,7 @@
     ("pause", "paused", TargetNotices, "pause_left_s", lambda *_: 0.0),
     (
         "at the moment of sending",
-        "leaving_while_a_place_is_waited_for",
+        "leaving_during_placement",
         routing.Forwarder,
         "_check_accepting",
         lambda *_: None,
@@ -563,7 +565,9 @@
 
 def run_mutant(number: int) -> list[str]:
     """Run a mutant's scenario with its guard disabled."""
-    _, scenario, owner, name, off = MUTANTS[number]
+    _, scenario, owner, name, replacement = MUTANTS[number]
     with contextlib.ExitStack() as stack:
-        stack.enter_context(unittest.mock.patch.object(owner, name, off))
+        stack.enter_context(
+            unittest.mock.patch.object(owner, name, replacement)
+        )
         return run_scenario(scenario)
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -28,7 +28,7 @@
 from features.support import ledger
 
 CRASH_S = fatal_world.CRASH_S
-MAX_ENDS = fatal_world.MAX_ENDS
+QUARANTINE_CRASHES = fatal_world.QUARANTINE_CRASHES
 MAX_LATE_ARRIVALS = fatal_world.MAX_LATE_ARRIVALS
 POOL = fatal_world.POOL
 
@@ -45,11 +45,13 @@
     return quarantine.Observation("id", "m1", POOL, target, ended_ago_s, end)
 
 
-def _count(words: collections.abc.Iterable[quarantine.Observation]) -> int:
+def _count(
+    observations: collections.abc.Iterable[quarantine.Observation],
+) -> int:
     counter = quarantine.EndCounter()
     suspect = None
-    for word in words:
-        suspect = counter.take(word, 100.0)
+    for observation in observations:
+        suspect = counter.take(observation, 100.0)
     return 0 if suspect is None else suspect.ends
 
 
@@ -82,28 +84,31 @@
     return []
 
 
-async def one_event_counts_once() -> list[str]:
+async def simultaneous_crashes_count_once() -> list[str]:
     """Crashes at the same moment count as one, separate ones as several.
 
     Copies that run at three targets of a rack that fails did not cause the
     failure. Crashes of the same three targets one after another count.
     """
     rack = [_observed(f"t{n}", 3.0 - n / 100) for n in range(3)]
-    turns = [_observed(f"t{n}", 8.0 - 2 * n) for n in range(3)]
-    served = [*turns, _observed("t9", 0.5, True)]
-    again = [*turns, _observed("t9", 5.0, True)]
-    found = [_count(words) for words in (rack, turns, served, again)]
+    sequential = [_observed(f"t{n}", 8.0 - 2 * n) for n in range(3)]
+    served_last = [*sequential, _observed("t9", 0.5, True)]
+    served_between = [*sequential, _observed("t9", 5.0, True)]
+    found = [
+        _count(observations)
+        for observations in (rack, sequential, served_last, served_between)
+    ]
     return [] if found == [1, 3, 0, 1] else [f"counted {found}"]
 
 
-async def strange_words() -> list[str]:
+async def extreme_ages() -> list[str]:
     """Crashes of one target with huge, negative or NaN ages count once."""
     ages = [-1e9, -1.0, 0.0, 1e12, math.inf, -math.inf, math.nan]
     counts = [_count([_observed("t1", age) for _ in range(5)]) for age in ages]
     return [f"counted {counts}"] if max(counts) > 1 else []
 
 
-async def members_apart() -> list[str]:
+async def members_are_isolated() -> list[str]:
     """One member's thousands of requests evict no other member's suspects.
 
     Nor do a member's single losses evict its own request that was lost twice.
@@ -140,14 +145,14 @@
 # Outcomes for callers.
 
 
-async def comes_again() -> list[str]:
+async def repeated_request() -> list[str]:
     """A fatal request is refused at every entry after three crashes."""
     async with World() as world:
         world.fatal = {b"bad"}
-        got = await world.ask_repeatedly(b"bad", 12)
+        outcomes = await world.ask_repeatedly(b"bad", 12)
         faults = world.faults(b"bad", 0)
-        if got[4:] != ["quarantined"] * 8:
-            faults.append(f"outcomes {got}")
+        if outcomes[4:] != ["quarantined"] * 8:
+            faults.append(f"outcomes {outcomes}")
         others = [await world.ask(f"q{n}".encode()) for n in range(20)]
         if set(others) != {"served"}:
             faults.append(f"outcomes of others: {others}")
@@ -156,7 +161,7 @@
         return faults
 
 
-async def at_all_at_once() -> list[str]:
+async def simultaneous_copies() -> list[str]:
     """Copies are sent to all entries at once, five times."""
     async with World() as world:
         world.fatal = {b"bad"}
@@ -174,9 +179,9 @@
         await world.stop((await world.leader()).member.address)
         await asyncio.sleep(3.0)
         await world.ask_repeatedly(b"bad", 10)
-        ends = len(world.ended)
+        crashes = len(world.crashes)
         faults = world.faults(b"bad", 0)
-        return faults + ([f"{ends} crashes"] if ends > 4 else [])
+        return faults + ([f"{crashes} crashes"] if crashes > 4 else [])
 
 
 async def leader_lost_after_third() -> list[str]:
@@ -194,21 +199,25 @@
         return world.faults(b"bad")
 
 
-async def all_without_power() -> list[str]:
+async def full_restart() -> list[str]:
     """A quarantine survives a restart of all replicas and entries."""
     async with World() as world:
         world.fatal = {b"bad"}
         await world.ask_repeatedly(b"bad", 5)
-        before = len(world.ended)
+        crashes_before = len(world.crashes)
         await world.restart_all()
-        got = await world.ask_repeatedly(b"bad", 6)
-        faults = [] if len(world.ended) == before else ["more targets crashed"]
-        if set(got) != {"quarantined"}:
-            faults.append(f"outcomes {got}")
+        outcomes = await world.ask_repeatedly(b"bad", 6)
+        faults = (
+            []
+            if len(world.crashes) == crashes_before
+            else ["more targets crashed"]
+        )
+        if set(outcomes) != {"quarantined"}:
+            faults.append(f"outcomes {outcomes}")
         return faults
 
 
-async def under_its_name() -> list[str]:
+async def same_name_restarts() -> list[str]:
     """Incarnations that keep the target's name count as other targets."""
     async with World(count=2) as world:
         for target in world.targets:
@@ -235,11 +244,11 @@
     async with World(attempts=20) as world:
         world.fatal = {b"bad"}
         await world.ask(b"bad")
-        ended = len(world.ended)
-        return [f"{ended} crashes"] if ended > MAX_ENDS else []
+        crashes = len(world.crashes)
+        return [f"{crashes} crashes"] if crashes > QUARANTINE_CRASHES else []
 
 
-async def beside_it() -> list[str]:
+async def concurrent_requests() -> list[str]:
     """Requests that run beside a fatal one are served after retries.
 
     Each caller sends up to four times. Requests that run on a target when the
@@ -251,76 +260,77 @@
         async def one(number: int) -> str:
             await asyncio.sleep(number * 0.02)
             for _ in range(4):
-                got = await world.ask(f"good {number}".encode())
-                if got in ("served", "quarantined"):
-                    return got
+                outcome = await world.ask(f"good {number}".encode())
+                if outcome in ("served", "quarantined"):
+                    return outcome
                 await asyncio.sleep(0.1)
-            return got
+            return outcome
 
         asking = [asyncio.create_task(one(n)) for n in range(600)]
         await world.ask_repeatedly(b"bad", 12)
-        got = collections.Counter(await asyncio.gather(*asking))
+        outcomes = collections.Counter(await asyncio.gather(*asking))
         faults = world.faults(b"bad")
-        if got["quarantined"] or got["served"] < 590:
-            faults.append(f"outcomes of others: {dict(got)}")
+        if outcomes["quarantined"] or outcomes["served"] < 590:
+            faults.append(f"outcomes of others: {dict(outcomes)}")
         return faults
 
 
-async def popular_in_a_rack() -> list[str]:
+async def popular_request_in_a_failed_rack() -> list[str]:
     """A request sent by many is not quarantined as racks and links fail.
 
     Three targets at a time crash or lose their connections, while the same
     request runs at all of them.
     """
     async with World(entries=6, count=6) as world:
-        got: collections.Counter[str] = collections.Counter()
+        outcomes: collections.Counter[str] = collections.Counter()
 
         async def reading() -> None:
             while True:
-                got[await world.ask(b"popular")] += 1
+                outcomes[await world.ask(b"popular")] += 1
                 await asyncio.sleep(0.05)
 
         tasks = [asyncio.create_task(reading()) for _ in range(12)]
         for turn in range(8):
             await asyncio.sleep(1.5)
             for target in world.targets[turn % 2 :: 2]:
-                target.cut() if turn % 3 == 2 else target.end()
+                target.disconnect() if turn % 3 == 2 else target.crash()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return [f"{dict(got)}"] if got["quarantined"] else []
+        return [f"{dict(outcomes)}"] if outcomes["quarantined"] else []
 
 
-async def runs_again_later() -> list[str]:
+async def runs_again_after_hold() -> list[str]:
     """A quarantined request may run again after a hold time.
 
     One more crash doubles the hold time; a success ends the quarantine.
     """
     hold = unittest.mock.patch.object(_quarantine, "HOLD_S", 6.0)
     with hold:
-        return await _runs_again_later()
+        return await _runs_again_after_hold()
 
 
-async def _runs_again_later() -> list[str]:
+async def _runs_again_after_hold() -> list[str]:
     async with World() as world:
         world.fatal = {b"bad"}
         await world.ask_repeatedly(b"bad", 5)
-        ended = len(world.ended)
-        await asyncio.sleep(_quarantine.hold_s(MAX_ENDS) + 1.0)
+        crashes_before = len(world.crashes)
+        await asyncio.sleep(_quarantine.hold_s(QUARANTINE_CRASHES) + 1.0)
         await world.ask_repeatedly(b"bad", 4)
         faults = []
-        if len(world.ended) != ended + 1:
+        if len(world.crashes) != crashes_before + 1:
             faults.append(
-                f"{len(world.ended) - ended} crashes after the hold, not 1"
+                f"{len(world.crashes) - crashes_before} crashes after the "
+                "hold, not 1"
             )
-        await asyncio.sleep(_quarantine.hold_s(MAX_ENDS) + 1.0)
+        await asyncio.sleep(_quarantine.hold_s(QUARANTINE_CRASHES) + 1.0)
         if await world.ask(b"bad") != "quarantined":
             faults.append("the second hold was not longer")
         world.fatal = set()
-        await asyncio.sleep(_quarantine.hold_s(MAX_ENDS) + 1.0)
-        got = await world.ask_repeatedly(b"bad", 3)
-        if got != ["served"] * 3 or world.quarantined():
-            faults.append(f"outcomes when no longer fatal: {got}")
+        await asyncio.sleep(_quarantine.hold_s(QUARANTINE_CRASHES) + 1.0)
+        outcomes = await world.ask_repeatedly(b"bad", 3)
+        if outcomes != ["served"] * 3 or world.quarantined():
+            faults.append(f"outcomes when no longer fatal: {outcomes}")
         return faults
 
 
@@ -337,11 +347,11 @@
         leader = await world.leader()
         await leader.propose(wire.encode(catalogue.Command(put=put)))
         await asyncio.sleep(1.0)
-        got = await world.ask(b"bad")
-        return [] if got == "served" else [f"outcome {got}"]
+        outcome = await world.ask(b"bad")
+        return [] if outcome == "served" else [f"outcome {outcome}"]
 
 
-async def released_for_good() -> list[str]:
+async def release_survives_new_leader() -> list[str]:
     """Earlier crashes do not quarantine again what an operator released.
 
     Daemons report the crashes of the last minutes again to a new leader.
@@ -359,17 +369,19 @@
         await world.stop(leader.member.address)
         await asyncio.sleep(3.0)
         world.fatal = set()
-        got = await world.ask_repeatedly(b"bad", 2)
-        return [] if got == ["served"] * 2 else [f"outcomes {got}"]
+        outcomes = await world.ask_repeatedly(b"bad", 2)
+        return [] if outcomes == ["served"] * 2 else [f"outcomes {outcomes}"]
 
 
-async def served_before() -> list[str]:
+async def earlier_success() -> list[str]:
     """A success from before the quarantine does not end it.
 
     A daemon that does not know of the quarantine yet reports the earlier
     success to a new leader.
     """
-    value = wire.encode(catalogue.Quarantine("m1", POOL, MAX_ENDS)).decode()
+    value = wire.encode(
+        catalogue.Quarantine("m1", POOL, QUARANTINE_CRASHES)
+    ).decode()
     view = catalogue.View()
     view.apply(catalogue.Effect(7, catalogue.Kind.QUARANTINE, "id", value))
     commands = []
@@ -389,7 +401,7 @@
     return faults
 
 
-async def random_loads() -> list[str]:
+async def random_faults() -> list[str]:
     """Random crashes, cuts, restarts and copies with two seeds."""
     return [fault for seed in range(2) for fault in await _random(seed)]
 
@@ -399,12 +411,12 @@
     async with World(seed=seed + 1) as world:
         bad = [b"bad", b"worse"][: rng.randint(1, 2)]
         world.fatal = set(bad)
-        got: collections.Counter[str] = collections.Counter()
+        outcomes: collections.Counter[str] = collections.Counter()
 
         async def caller(body: bytes, wait_s: float) -> None:
             while True:
                 await asyncio.sleep(rng.expovariate(1 / wait_s))
-                got[body.decode()[:4], await world.ask(body)] += 1
+                outcomes[body.decode()[:4], await world.ask(body)] += 1
 
         tasks = [
             asyncio.create_task(caller(body, rng.uniform(0.5, 2.0)))
@@ -427,17 +439,17 @@
             for body in bad
             for fault in world.faults(body, MAX_LATE_ARRIVALS)
         ]
-        if got["good", "quarantined"]:
-            faults.append(f"seed {seed}: {dict(got)}")
+        if outcomes["good", "quarantined"]:
+            faults.append(f"seed {seed}: {dict(outcomes)}")
         return faults
 
 
 async def _inject_fault(world: World, rng: random.Random) -> None:
     what = rng.randrange(4)
     if what == 0:
-        rng.choice(world.targets).end()
+        rng.choice(world.targets).crash()
     elif what == 1:
-        rng.choice(world.targets).cut()
+        rng.choice(world.targets).disconnect()
     elif what == 2:
         await world.restart_entry(rng.choice(world.entries))
     else:
@@ -451,24 +463,24 @@
     work.__name__: work
     for work in (
         any_order,
-        one_event_counts_once,
-        strange_words,
-        members_apart,
-        comes_again,
-        at_all_at_once,
+        simultaneous_crashes_count_once,
+        extreme_ages,
+        members_are_isolated,
+        repeated_request,
+        simultaneous_copies,
         leader_lost_before_third,
         leader_lost_after_third,
-        all_without_power,
-        under_its_name,
+        full_restart,
+        same_name_restarts,
         two_members,
         within_one_attempt,
-        beside_it,
-        popular_in_a_rack,
-        runs_again_later,
+        concurrent_requests,
+        popular_request_in_a_failed_rack,
+        runs_again_after_hold,
         operator_releases,
-        released_for_good,
-        served_before,
-        random_loads,
+        release_survives_new_leader,
+        earlier_success,
+        random_faults,
         fatal.fatal_prompt,
         fatal.fatal_call,
     )
@@ -506,18 +518,18 @@
 MUTANTS = (
     (
         "never refuse",
-        "comes_again",
+        "repeated_request",
         (_fatal.QuarantineGuard, "check", lambda *_: None),
     ),
     (
         "keep nothing in the log",
-        "all_without_power",
+        "full_restart",
         (catalogue.View, "quarantine_by_id", property(lambda view: {})),
     ),
     (
         "let owners send what is held back",
         "fatal_prompt",
-        fatal.NOTHING_HELD,
+        fatal.NO_QUARANTINE_VISIBLE,
     ),
     (
         "tell each thing once in all",
@@ -526,22 +538,22 @@
     ),
     (
         "count each target of a rack",
-        "one_event_counts_once",
+        "simultaneous_crashes_count_once",
         (_ends, "COINCIDENCE_WINDOW_S", -1.0),
     ),
     (
         "never clear",
-        "popular_in_a_rack",
+        "popular_request_in_a_failed_rack",
         (_fatal.QuarantineGuard, "served", lambda *_: None),
     ),
     (
         "run copies side by side",
-        "at_all_at_once",
+        "simultaneous_copies",
         (_quarantine.Quarantine, "acquire_exclusive", _allow),
     ),
     (
         "let what was lost once push out what was lost again",
-        "members_apart",
+        "members_are_isolated",
         (_ends._MemberSuspects, "put", _put_fifo),
     ),
     (
@@ -551,17 +563,17 @@
     ),
     (
         "tell again what was judged",
-        "released_for_good",
+        "release_survives_new_leader",
         (quarantine.Observations, "forget", lambda *_: None),
     ),
     (
         "free what was served before it was held",
-        "served_before",
+        "earlier_success",
         (_quarantine.Quarantine, "_known_since", lambda *_: -math.inf),
     ),
     (
         "hold for good",
-        "runs_again_later",
+        "runs_again_after_hold",
         (_quarantine.Quarantine, "tend", _do_nothing),
     ),
 )
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -102,16 +102,18 @@
     term = leader.term
     await node._run_election(False)
     faults = []
-    stands = observer_by_address[node.member.address].matching(
+    elections = observer_by_address[node.member.address].matching(
         "stand", end="pre-vote failed"
     )
-    if len(stands) != 1:
-        return [f"elections: {stands}"]
-    answers = stands[0]["answers"]
+    if len(elections) != 1:
+        return [f"elections: {elections}"]
+    answers = elections[0]["answers"]
     if len(answers) != 2 or answers[leader.name] != "holds the lease":
         faults.append(f"vote answers: {answers}")
-    for address, one in observer_by_address.items():
-        ballots = one.matching("ballot", candidate=node.member.id, pre=True)
+    for address, observer in observer_by_address.items():
+        ballots = observer.matching(
+            "ballot", candidate=node.member.id, pre=True
+        )
         if address != node.member.address and not ballots[0]["refused"]:
             faults.append(f"{address}: {ballots}")
     if leader.term != term or not leader.holds_lease():
@@ -144,7 +146,7 @@
     return observe.as_text(metrics.snapshot())
 
 
-def _late_loop() -> list[str]:
+def _blocked_loop() -> list[str]:
     """The next event after a blocked loop carries the lag."""
     written = io.StringIO()
     with observe.EventLog("r1", written):
@@ -250,7 +252,7 @@
     clock.work(5.0)
 
 
-def _steps_not_waits() -> list[str]:
+def _waits_not_counted() -> list[str]:
     """Work is charged for its own steps, not for what it awaits."""
     clock = _ManualClock()
     with unittest.mock.patch.object(_work, "time", clock):
@@ -288,10 +290,10 @@
 
 
 SCENARIOS = {
-    "steps_not_waits": _steps_not_waits,
-    "work_told": _work_logged,
-    "lost_lead": lambda: ledger.run(_lost_leadership()),
-    "refused_stand": lambda: ledger.run(_refused_election()),
-    "late_loop": _late_loop,
+    "waits_not_counted": _waits_not_counted,
+    "work_logged": _work_logged,
+    "lost_leadership": lambda: ledger.run(_lost_leadership()),
+    "refused_election": lambda: ledger.run(_refused_election()),
+    "blocked_loop": _blocked_loop,
     "shed_calls": _shed_calls,
 }
