--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -1,11 +1,11 @@
-Feature: Decisions on places, without a network
+Feature: Placement decisions, without a network
 
-  Scenario Outline: <load>
-    When the load "<load>" is played against the decisions
-    Then callers get what it states
+  Scenario Outline: <scenario>
+    When the placement scenario "<scenario>" runs
+    Then it has the expected result
 
     Examples:
-      | load                                             |
+      | scenario                                         |
       | an engine is faster than initially estimated     |
       | an engine slows down                             |
       | a slow engine gets no more requests for a minute |
@@ -26,5 +26,5 @@
       | the event loop of a daemon lags                  |
       | hundreds of requests wait for placement          |
 
-  Scenario: Every switch of the decisions changes what callers get
-    Then each switched-off mechanism breaks its load
+  Scenario: Every mechanism of the placement decisions is needed
+    Then the scenario of each mechanism fails without it
--- a/features/steps/decisions.py
+++ b/features/steps/decisions.py
@@ -5,17 +5,17 @@
 from features.support import decisions
 
 
-@behave.when('the load "{load}" is played against the decisions')
-def run_scenario(context, load: str) -> None:
-    context.faults = decisions.SCENARIOS[load]()
+@behave.when('the placement scenario "{name}" runs')
+def run_scenario(context, name: str) -> None:
+    context.faults = decisions.SCENARIOS[name]()
 
 
-@behave.then("callers get what it states")
+@behave.then("it has the expected result")
 def check_faults(context) -> None:
     assert not context.faults, context.faults
 
 
-@behave.then("each switched-off mechanism breaks its load")
+@behave.then("the scenario of each mechanism fails without it")
 def check_switches(context) -> None:
     undetected = decisions.undetected_switches()
     assert not undetected, undetected
--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -1,6 +1,6 @@
-"""Simulated loads on the placement decisions, without a network.
+"""Scenarios of placement decisions, without a network.
 
-Time is an argument or virtual. Each load returns the differences from what
+Time is an argument or virtual. Each scenario returns the deviations from what
 its docstring states.
 """
 
@@ -92,7 +92,7 @@
 
 
 def learns_fast_engine(learns: bool = True) -> list[str]:
-    """The speed of an engine that reads 38,000 tokens/s is learned.
+    """The pace of an engine that reads 38,000 tokens/s is learned.
 
     The mean error of the estimated time to first token is 0.12 s with the
     initial estimate, and under 0.02 s once the pace is learned.
@@ -326,7 +326,7 @@
 
 
 def copy_is_loading() -> list[str]:
-    """A request waits for a copy that is loading; it loads no second."""
+    """A request waits for a copy that is loading; no second one is loaded."""
     engines = Engines(3)
     slot = _holding.Slot(
         1, _holding.SlotState.LOADING, ready_at=engines.now + 0.2
@@ -337,7 +337,7 @@
 
 
 def many_engines() -> list[str]:
-    """Of 600 engines few are weighed, but any engine with a copy is."""
+    """Of 600 engines few are considered, but always those with a copy."""
     engines = Engines(600)
     engines.by_id["e599"].remember_copy((MODEL, "a1"))
     weighed = 0
@@ -356,7 +356,7 @@
     if decision != _decisions.Load("e599", None):
         faults.append(f"{decision} though e599 has a copy")
     if weighed > _decisions.MAX_LOAD_CANDIDATES + 1:
-        faults.append(f"{weighed} engines were weighed")
+        faults.append(f"{weighed} engines were considered")
     return faults
 
 
@@ -473,7 +473,7 @@
     """A call budget limits how often daemons ask while there is no leader.
 
     83 daemons with 8 requests each make no more calls in 2 s than the budget
-    permits, 1,366 in all; without a budget they made 5,976.
+    permits, 1,366 in all; without a budget they would make 5,976.
     """
 
     async def run() -> int:
@@ -626,13 +626,13 @@
 
 
 class _GrantingTransport(wire.PeerTransport):
-    """A transport that grants every place and records the order of calls."""
+    """A transport that grants all placements and records their order."""
 
     def __init__(self) -> None:
         self.order: list[int] = []
 
     async def call(self, address, call, message, timeout_s):
-        """Grant a place."""
+        """Grant a placement."""
         self.order.append(int(message.request))
         await asyncio.sleep(0.002)
         return placement.PlaceReply("e1", "10.0.0.1:1", 1, 0.0, "resident")
@@ -717,7 +717,7 @@
 
 
 def many_waiters() -> list[str]:
-    """Decisions for hundreds of waiters yield to the event loop between.
+    """Deciding for hundreds of waiters yields to the event loop regularly.
 
     If each decision takes 4 ms, one turn decides for a few of 200 waiters.
     """
@@ -778,7 +778,7 @@
 
 
 def undetected_switches() -> list[str]:
-    """Return the mechanisms whose load passes without them."""
+    """Return the mechanisms whose scenario passes without them."""
     switched_off = {
         "learned pace": learns_fast_engine(learns=False),
         "further copies": popular_adapter(spread=False),
--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -27,8 +27,8 @@
 RUN_S = 0.2
 CRASH_S = 0.1
 DOWN_S = 1.0
-# Required by users: later than REACTION_S after the third crash that a
-# request caused, it may reach targets at most three times more.
+# Requirement: later than REACTION_S after the third crash that a request
+# caused, it reaches targets at most MAX_LATE_ARRIVALS times.
 REACTION_S = 3.0
 MAX_LATE_ARRIVALS = 3
 QUARANTINE_CRASHES = 3
@@ -86,7 +86,7 @@
         self._disconnected = asyncio.Event()
 
     async def run(self, body: bytes) -> bool:
-        """Run a request; return whether it ended before its connection did."""
+        """Run a request; return whether it ended before the connection did."""
         loop = asyncio.get_running_loop()
         disconnected, start = self._disconnected, self.start
         self._world.arrivals.append(Arrival(loop.time(), body, self.id))
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -176,7 +176,7 @@
         return sorted(faults)
 
     def sends_in_pauses(self) -> list[str]:
-        """List entries that sent to a target during its pause for them."""
+        """List entries that sent to a target in a pause reported to them."""
         by_pair: dict[tuple[int, str], list[Arrival]] = (
             collections.defaultdict(list)
         )
@@ -210,7 +210,7 @@
 
 
 async def leaving_while_cut_off() -> list[str]:
-    """An entry cut off from the leader still obeys what it was told."""
+    """An entry cut off from the leader still obeys what targets report."""
     async with World() as world:
         world.network.isolate(world.entries[0].session.daemon.address)
         await asyncio.sleep(3.0)
@@ -525,36 +525,36 @@
 TargetNotices = control.TargetNotices
 MUTANTS: tuple[tuple[str, str, object, str, object], ...] = (
     (
-        "leaving",
+        "ignore that a target is leaving",
         "leaving_while_cut_off",
         TargetNotices,
         "note_leaving",
         lambda *_: False,
     ),
     (
-        "told",
+        "report no leaving targets to the leader",
         "leaving_ahead_of_the_list",
         TargetNotices,
         "unreported",
         lambda *_: (),
     ),
     (
-        "told again",
+        "report no leaving targets to a new leader",
         "leaving_across_leader_change",
         TargetNotices,
         "unreported",
         lambda *_: (),
     ),
-    ("pause", "paused", TargetNotices, "pause_left_s", lambda *_: 0.0),
+    ("ignore pauses", "paused", TargetNotices, "pause_left_s", lambda *_: 0.0),
     (
-        "at the moment of sending",
+        "do not check the target before sending",
         "leaving_during_placement",
         routing.Forwarder,
         "_check_accepting",
         lambda *_: None,
     ),
     (
-        "waiting",
+        "do not wait for the end of a pause",
         "all_paused",
         routing.Forwarder,
         "_remaining_pauses_s",
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -276,7 +276,7 @@
 
 
 async def popular_request_in_a_failed_rack() -> list[str]:
-    """A request sent by many is not quarantined as racks and links fail.
+    """A popular request is not quarantined when racks or links fail.
 
     Three targets at a time crash or lose their connections, while the same
     request runs at all of them.
@@ -402,7 +402,7 @@
 
 
 async def random_faults() -> list[str]:
-    """Random crashes, cuts, restarts and copies with two seeds."""
+    """Random crashes, lost connections, restarts and copies, two seeds."""
     return [fault for seed in range(2) for fault in await _random(seed)]
 
 
@@ -488,7 +488,7 @@
 
 
 def _pending_once(seen: quarantine.Observations, term: int) -> tuple:
-    """Report to a new leader only what no other leader was told."""
+    """Report to a new leader only what no earlier one has received."""
     seen._reported_term = term
     return _original_pending(seen, term)
 
@@ -517,62 +517,62 @@
 # attribute, replacement) that disables a guard.
 MUTANTS = (
     (
-        "never refuse",
+        "never refuse a quarantined request",
         "repeated_request",
         (_fatal.QuarantineGuard, "check", lambda *_: None),
     ),
     (
-        "keep nothing in the log",
+        "hide quarantines after a restart",
         "full_restart",
         (catalogue.View, "quarantine_by_id", property(lambda view: {})),
     ),
     (
-        "let owners send what is held back",
+        "hide quarantines from the owners of engines",
         "fatal_prompt",
         fatal.NO_QUARANTINE_VISIBLE,
     ),
     (
-        "tell each thing once in all",
+        "report each observation to one leader only",
         "leader_lost_before_third",
         (quarantine.Observations, "pending", _pending_once),
     ),
     (
-        "count each target of a rack",
+        "count simultaneous crashes separately",
         "simultaneous_crashes_count_once",
         (_ends, "COINCIDENCE_WINDOW_S", -1.0),
     ),
     (
-        "never clear",
+        "report no successes",
         "popular_request_in_a_failed_rack",
         (_fatal.QuarantineGuard, "served", lambda *_: None),
     ),
     (
-        "run copies side by side",
+        "run copies concurrently",
         "simultaneous_copies",
         (_quarantine.Quarantine, "acquire_exclusive", _allow),
     ),
     (
-        "let what was lost once push out what was lost again",
+        "evict suspects in order of arrival",
         "members_are_isolated",
         (_ends._MemberSuspects, "put", _put_fifo),
     ),
     (
-        "send one attempt on and on",
+        "resend one attempt without a limit",
         "within_one_attempt",
         (quarantine, "MAX_ENDS", 100),
     ),
     (
-        "tell again what was judged",
+        "report quarantined requests again",
         "release_survives_new_leader",
         (quarantine.Observations, "forget", lambda *_: None),
     ),
     (
-        "free what was served before it was held",
+        "release for a success before the quarantine",
         "earlier_success",
         (_quarantine.Quarantine, "_known_since", lambda *_: -math.inf),
     ),
     (
-        "hold for good",
+        "never end a hold",
         "runs_again_after_hold",
         (_quarantine.Quarantine, "tend", _do_nothing),
     ),
