--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -493,11 +493,11 @@
     loop = looptime.new_event_loop()
     with contextlib.closing(loop):
         calls = loop.run_until_complete(run())
-    most = 2 * _placements.MAX_ASKS_PER_S + 83 * _placements.MIN_BURST
+    allowed = 2 * _placements.MAX_ASKS_PER_S + 83 * _placements.MIN_BURST
     return (
         []
-        if calls <= most
-        else [f"{calls} calls in 2 s, the budget permits {most}"]
+        if calls <= allowed
+        else [f"{calls} calls in 2 s, the budget permits {allowed}"]
     )
 
 
@@ -517,7 +517,7 @@
         session = _session(83)
         session.silent_s.side_effect = lambda: loop.time() - began_at
         placements = _placements.PlacementClient(session, _NoLeaderTransport())
-        held = []
+        refusals = []
 
         async def ask(number: int) -> None:
             came_at = loop.time() - began_at
@@ -528,31 +528,31 @@
                 await placements.take(request)
             except wire.OverloadError as error:
                 held_s = loop.time() - began_at - came_at
-                held.append((came_at, held_s, error.retry_after_s))
+                refusals.append((came_at, held_s, error.retry_after_s))
 
         asking = []
         for number in range(100):
             asking.append(asyncio.create_task(ask(number)))
             await asyncio.sleep(0.1)
         await asyncio.gather(*asking)
-        return held
+        return refusals
 
     loop = looptime.new_event_loop()
     with contextlib.closing(loop):
-        held = loop.run_until_complete(run())
+        refusals = loop.run_until_complete(run())
     faults = []
-    for came_at, held_s, retry_s in held:
-        least_s = 0.7 if came_at < 0.5 else 0.0
-        most_s = 0.1 if came_at > 3.0 else 3.1
-        if not least_s <= held_s <= most_s or (retry_s or 0.0) < 1.0:
+    for came_at, held_s, retry_s in refusals:
+        min_held_s = 0.7 if came_at < 0.5 else 0.0
+        max_held_s = 0.1 if came_at > 3.0 else 3.1
+        if not min_held_s <= held_s <= max_held_s or (retry_s or 0.0) < 1.0:
             faults.append(
                 f"arrived at {came_at:.1f} s: refused after {held_s:.2f} s, "
                 f"retry after {retry_s} s"
             )
     return (
         faults
-        if len(held) == 100
-        else [f"{len(held)} of 100 requests were refused"]
+        if len(refusals) == 100
+        else [f"{len(refusals)} of 100 requests were refused"]
     )
 
 
@@ -592,7 +592,7 @@
             session, _NoLeaderTransport(), survey=survey if asks else None
         )
         await asyncio.sleep(2.0)
-        began = loop.time()
+        asked_at = loop.time()
         requests = [
             dataclasses.replace(_place_request(number), patience_s=9.0)
             for number in range(20)
@@ -600,7 +600,7 @@
         found = await asyncio.gather(
             *map(placements.take, requests), return_exceptions=True
         )
-        took_s = loop.time() - began
+        took_s = loop.time() - asked_at
         absent = dataclasses.replace(_place_request(20), adapter="a2")
         refused = await asyncio.gather(
             placements.take(absent), return_exceptions=True
@@ -657,10 +657,10 @@
             dataclasses.replace(_place_request(n), waited_s=1.5)
             for n in range(10)
         ]
-        fresh = [_place_request(n) for n in range(10, 14)]
+        on_time = [_place_request(n) for n in range(10, 14)]
         asking = [
             asyncio.create_task(placements.take(request))
-            for request in (*late, *fresh)
+            for request in (*late, *on_time)
         ]
         await asyncio.gather(*asking, return_exceptions=True)
         return transport.order
@@ -668,9 +668,9 @@
     loop = looptime.new_event_loop()
     with contextlib.closing(loop):
         order = loop.run_until_complete(run())
-    last_fresh = max(order.index(number) for number in range(10, 14))
+    last_on_time = max(order.index(number) for number in range(10, 14))
     # The first two late requests use the burst that is allowed at once.
-    return [] if last_fresh <= 6 else [f"asked in the order {order}"]
+    return [] if last_on_time <= 6 else [f"asked in the order {order}"]
 
 
 def lagging_daemon() -> list[str]:
--- a/libs/routing/src/bergamotsail/routing/_choice.py
+++ b/libs/routing/src/bergamotsail/routing/_choice.py
@@ -11,8 +11,8 @@
 REPLICATE_LOAD = 2.0
 COLD_CANDIDATES = 3
 PENDING_COST = 0.5
-STICKY_S = 5.0
-MAX_STICKY = 2_000
+COLD_CHOICE_KEPT_S = 5.0
+MAX_REMEMBERED_CHOICES = 2_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
             key=lambda t: (round(load_of(t), 1), t.id != previous, t.id),
         )
         self._target_by_prefix[(adapter, prefix)] = chosen.id
-        if len(self._target_by_prefix) > MAX_STICKY:
+        if len(self._target_by_prefix) > MAX_REMEMBERED_CHOICES:
             self._target_by_prefix.pop(next(iter(self._target_by_prefix)))
         return chosen
 
@@ -132,12 +132,12 @@
             chosen = min(pending, key=lambda t: t.id)
             return Choice(chosen, "load ordered there")
         recent, at = self._cold_choice_by_adapter.get(adapter, ("", 0.0))
-        if recent in by_id and now - at < STICKY_S:
+        if recent in by_id and now - at < COLD_CHOICE_KEPT_S:
             return Choice(by_id[recent], "load ordered there")
         candidates = control.rendezvous(adapter, by_id)[:COLD_CANDIDATES]
         chosen = min(candidates, key=lambda name: cost_of(by_id[name]))
         self._cold_choice_by_adapter[adapter] = (chosen, now)
-        if len(self._cold_choice_by_adapter) > MAX_STICKY:
+        if len(self._cold_choice_by_adapter) > MAX_REMEMBERED_CHOICES:
             oldest = next(iter(self._cold_choice_by_adapter))
             del self._cold_choice_by_adapter[oldest]
         return Choice(by_id[chosen], "cold, cheapest by hash")
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -124,7 +124,7 @@
         self._session.check_fresh()
         entry = self._resolve(caller, call.service)
         once = call.non_idempotent or _is_non_idempotent(entry.value, call)
-        key_time_ms = self._check_key(call) if once else 0
+        key_time_ms = self._validated_key_time_ms(call) if once else 0
         deadline = self._clock.now() + call.deadline_s
         tracked = _tracked(caller, call, entry.value)
         entered = self._admission.enter(
@@ -169,7 +169,7 @@
             )
         return entry
 
-    def _check_key(self, call: ServiceCall) -> int:
+    def _validated_key_time_ms(self, call: ServiceCall) -> int:
         if call.key is None:
             raise wire.IdempotencyKeyError(
                 "This call is not idempotent and needs an Idempotency-Key: "
