--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -116,7 +116,7 @@
     the same.
 
     Example: a request that was lost at ``e1``, retried and lost at ``e2``
-    has two ends, and none after it got a complete response.
+    has two ends. Once it gets a complete response it has none.
     """
 
     def __init__(self) -> None:
--- a/libs/quarantine/src/bergamotsail/quarantine/_observations.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_observations.py
@@ -82,7 +82,7 @@
     def any_suspect(self) -> bool:
         """Whether any request is suspected.
 
-        Without suspects no identity has to be looked up.
+        If not, callers need not compute the identity of a request.
         """
         return bool(self._lost_locally or self._leader_suspects)
 
@@ -95,7 +95,7 @@
     def note(self, run: Run, end: RunEnd) -> None:
         """Record how a run ended.
 
-        Other ends than losses matter only for suspects.
+        Ends other than losses are recorded for suspects only.
         """
         if end is RunEnd.LOST:
             self._lost_locally.add(run.identity)
--- a/libs/routing/src/bergamotsail/routing/_admission.py
+++ b/libs/routing/src/bergamotsail/routing/_admission.py
@@ -15,6 +15,7 @@
 from bergamotsail import catalogue
 from bergamotsail import wire
 
+# Shares of rate limits are in thousandths of a request per second.
 MILLI = 1000
 BURST_S = 1.0
 POLL_S = 0.02
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -170,6 +170,12 @@
         return entry
 
     def _validated_key_time_ms(self, call: ServiceCall) -> int:
+        """Return the timestamp in the idempotency key of a call.
+
+        Raises:
+            IdempotencyKeyError: the key is missing or invalid, or its time is
+                in the future.
+        """
         if call.key is None:
             raise wire.IdempotencyKeyError(
                 "This call is not idempotent and needs an Idempotency-Key: "
