--- a/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
@@ -54,7 +54,7 @@
 
     prefix = "admin"
 
-    def operator(self) -> str:
+    def authenticate(self) -> str:
         """Authenticate the operator; compares tokens in constant time.
 
         Raises:
@@ -75,7 +75,7 @@
             )
         return found
 
-    def kind(self, name: str) -> catalogue.Kind:
+    def parse_kind(self, name: str) -> catalogue.Kind:
         """Return the entry kind named in a path.
 
         Raises:
@@ -89,7 +89,7 @@
                 f"Unknown kind {name!r}. Use one of {kinds}."
             ) from None
 
-    def view(self) -> catalogue.View:
+    def fresh_view(self) -> catalogue.View:
         """Return the catalogue view; raises if this daemon's lease ended."""
         self.daemon.session.check_fresh()
         return self.daemon.session.view
@@ -107,8 +107,8 @@
         await self.serve(self._answer(kind))
 
     async def _answer(self, kind: str) -> None:
-        self.operator()
-        by_id = self.view().by_kind[self.kind(kind)]
+        self.authenticate()
+        by_id = self.fresh_view().by_kind[self.parse_kind(kind)]
         self.send_json([_entry_view(by_id[name]) for name in sorted(by_id)])
 
 
@@ -128,8 +128,8 @@
         await self.serve(self._change(kind, entry_id, True))
 
     async def _get(self, kind: str, entry_id: str) -> None:
-        self.operator()
-        entry = self.view().by_kind[self.kind(kind)].get(entry_id)
+        self.authenticate()
+        entry = self.fresh_view().by_kind[self.parse_kind(kind)].get(entry_id)
         if entry is None:
             raise wire.NotFoundError(f"There is no {kind} {entry_id}.")
         self.set_header("ETag", f'"{entry.revision}"')
@@ -138,8 +138,8 @@
     async def _change(
         self, kind_name: str, entry_id: str, delete: bool
     ) -> None:
-        operator = self.operator()
-        kind = self.kind(kind_name)
+        operator = self.authenticate()
+        kind = self.parse_kind(kind_name)
         catalogue.check_id(entry_id)
         value = None
         if not delete:
@@ -212,7 +212,7 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        self.operator()
+        self.authenticate()
         machine = self.daemon.machine
         if machine is None:
             raise wire.NotFoundError(
@@ -230,7 +230,7 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        self.operator()
+        self.authenticate()
         after = self.get_query_argument("after", "0")
         if not after.isdigit():
             raise wire.BadRequestError(
@@ -240,7 +240,7 @@
         while waited_s < WATCH_TIMEOUT_S:
             found = [
                 _entry_view(entry)
-                for by_id in self.view().by_kind.values()
+                for by_id in self.fresh_view().by_kind.values()
                 for entry in by_id.values()
                 if entry.revision > int(after)
             ]
@@ -261,7 +261,7 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        self.operator()
+        self.authenticate()
         session = self.daemon.session
         replicas = None
         try:
@@ -300,7 +300,7 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        self.operator()
+        self.authenticate()
         snapshot = self.daemon.metrics.snapshot()
         if self.get_query_argument("form", "encoded") == "readable":
             self.send_json(observe.readable(snapshot))
@@ -316,7 +316,7 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        self.operator()
+        self.authenticate()
         if self.daemon.node is None:
             raise wire.BadRequestError(
                 "Only a replica can form the log. Ask a replica."
@@ -333,6 +333,6 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        self.operator()
+        self.authenticate()
         self.daemon.request_stop()
         self.send_json({"stopping": True})
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -217,7 +217,7 @@
             dependencies.steps,
             dependencies.wall_s,
         )
-        self.where = routing.AddressLookup(
+        self.address_lookup = routing.AddressLookup(
             self.session, settings.answer_keep_s
         )
 
@@ -239,7 +239,7 @@
         """
         if self.accepting:
             return
-        answer = self.where.look_up(self.settings.name)
+        answer = self.address_lookup.look_up(self.settings.name)
         raise wire.StoppingError(
             "This instance is stopping. Use another address.",
             retry_after_s=0.5,
--- a/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
@@ -47,7 +47,7 @@
 
     prefix = "entry"
 
-    def caller(self) -> routing.Caller:
+    def authenticate(self) -> routing.Caller:
         """Authenticate the caller.
 
         Raises:
@@ -135,7 +135,7 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        caller = self.caller()
+        caller = self.authenticate()
         self.daemon.session.check_fresh()
         model = self.get_query_argument("model", "")
         service = self.get_query_argument("service", "")
@@ -146,8 +146,8 @@
         adapter = ""
         if model:
             adapter = self.daemon.entry.resolve(caller, model)
-        where = self.daemon.where
-        self.send_json(where.look_up(model or service, adapter))
+        lookup = self.daemon.address_lookup
+        self.send_json(lookup.look_up(model or service, adapter))
 
 
 class ModelsHandler(CallerHandler):
@@ -158,7 +158,7 @@
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
-        member = self.caller().member
+        member = self.authenticate().member
         entries = self.daemon.session.view.adapter_by_id.values()
         data = [
             {"id": f"{entry.id}@{version}", "object": "model"}
@@ -169,7 +169,7 @@
         self.send_json({"object": "list", "data": data})
 
 
-class RunHandler(CallerHandler):
+class CompletionHandler(CallerHandler):
     """The completion and chat API."""
 
     async def post(self, kind: str) -> None:
@@ -177,7 +177,7 @@
         await self.serve(self._answer(kind == "chat/completions"))
 
     async def _answer(self, chat: bool) -> None:
-        caller = self.caller()
+        caller = self.authenticate()
         self.daemon.check_accepting()
         body = wire.decode(self.body, CompletionBody)
         completion = self._make_completion(caller, body, chat)
@@ -298,7 +298,7 @@
     get = post = put = patch = delete = head = options = _handle
 
     async def _answer(self, service: str, path: str) -> None:
-        caller = self.caller()
+        caller = self.authenticate()
         self.daemon.check_accepting()
         query = f"?{self.request.query}" if self.request.query else ""
         headers = {
--- a/libs/daemon/src/bergamotsail/daemon/_http_server.py
+++ b/libs/daemon/src/bergamotsail/daemon/_http_server.py
@@ -18,7 +18,11 @@
         (r"/healthz", callers.HealthHandler, args),
         (r"/v1/where", callers.WhereHandler, args),
         (r"/v1/models", callers.ModelsHandler, args),
-        (r"/v1/(completions|chat/completions)", callers.RunHandler, args),
+        (
+            r"/v1/(completions|chat/completions)",
+            callers.CompletionHandler,
+            args,
+        ),
         (r"/v1/services/([^/]+)(/.*)?", callers.ServiceHandler, args),
         (r"/admin/v1/entries/([a-z]+)", admin.EntriesHandler, args),
         (r"/admin/v1/entries/([a-z]+)/([^/]+)", admin.EntryHandler, args),
--- a/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -102,7 +102,7 @@
         self._tasks: set[asyncio.Task] = set()
         self.shed_count = 0
         self._metrics = metrics or observe.Metrics()
-        self._shed_logged = 0
+        self._logged_shed_count = 0
         self._next_shed_log_at = float("-inf")
 
     def __call__(self, request: httputil.HTTPServerRequest) -> None:
@@ -118,7 +118,7 @@
 
     async def _answer(self, request: httputil.HTTPServerRequest) -> None:
         try:
-            await self._answer_call(request)
+            await self._dispatch(request)
         except iostream.StreamClosedError:
             logging.debug("peer: Caller closed the connection.")
         except wire.ServingError as error:
@@ -128,7 +128,7 @@
             error = wire.InternalError("Internal error. See the log.")
             _send(request, error.status, wire.encode(error.body()))
 
-    async def _answer_call(self, request: httputil.HTTPServerRequest) -> None:
+    async def _dispatch(self, request: httputil.HTTPServerRequest) -> None:
         if not request.path.startswith(wire.PEER_PATH):
             raise NOT_FOUND
         given = request.headers.get(wire.TOKEN_HEADER, "").encode()
@@ -163,8 +163,8 @@
         if now < self._next_shed_log_at:
             return
         self._next_shed_log_at = now + SHED_LOG_INTERVAL_S
-        count, self._shed_logged = (
-            self.shed_count - self._shed_logged,
+        count, self._logged_shed_count = (
+            self.shed_count - self._logged_shed_count,
             self.shed_count,
         )
         observe.log_event(
--- a/libs/daemon/src/bergamotsail/daemon/_process.py
+++ b/libs/daemon/src/bergamotsail/daemon/_process.py
@@ -12,10 +12,10 @@
 from bergamotsail.daemon import _bounded_body
 
 # Listen backlog, large because all callers may reconnect at once.
-BACKLOG = 1024
-HEADER_BYTES = 64 * 1024
+LISTEN_BACKLOG = 1024
+MAX_HEADER_BYTES = 64 * 1024
 # Idle timeout, long so that connections between daemons are kept.
-IDLE_S = 3600.0
+IDLE_TIMEOUT_S = 3600.0
 # Limit of a call's body between daemons; snapshot pieces are the largest.
 PEER_BODY_BYTES = 64 * 1024 * 1024
 
@@ -31,13 +31,15 @@
     """Serve an application, or a request callback, at HOST:PORT."""
     server = httpserver.HTTPServer(
         app,
-        idle_connection_timeout=IDLE_S,
-        max_header_size=HEADER_BYTES,
+        idle_connection_timeout=IDLE_TIMEOUT_S,
+        max_header_size=MAX_HEADER_BYTES,
         max_body_size=max_body_bytes,
         max_buffer_size=min(max_body_bytes, PEER_BODY_BYTES),
     )
     host, _, port = address.rpartition(":")
-    server.add_sockets(netutil.bind_sockets(int(port), host, backlog=BACKLOG))
+    server.add_sockets(
+        netutil.bind_sockets(int(port), host, backlog=LISTEN_BACKLOG)
+    )
     return server
 
 
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -90,12 +90,12 @@
 ) -> wire.HttpPeerTransport:
     """Return a peer transport that counts the bytes of each call."""
 
-    def on_call(name: str, sent: int, received: int) -> None:
+    def count_call(name: str, sent: int, received: int) -> None:
         """Count an outgoing call, separately from incoming calls."""
         kind = f"call {name}"
         observe.count_message(metrics, kind, received=received, sent=sent)
 
-    return wire.HttpPeerTransport(http, token, on_call)
+    return wire.HttpPeerTransport(http, token, count_call)
 
 
 class MetricsHandler(web.RequestHandler):
