--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -10,7 +10,7 @@
 import unittest.mock
 
 from bergamotsail import daemon
-from bergamotsail.daemon import _vitals
+from bergamotsail.daemon import _process_monitor
 from bergamotsail import explain
 from bergamotsail import observe
 from bergamotsail.observe import _work
@@ -264,7 +264,7 @@
         observe.count_message(metrics, "place", received=10, sent=20)
         with observe.spent(metrics, "place"):
             _busy_wait(0.01)
-        await asyncio.sleep(_vitals.WORK_LOG_INTERVAL_S + 0.5)
+        await asyncio.sleep(_process_monitor.WORK_LOG_INTERVAL_S + 0.5)
 
 
 def _work_logged() -> list[str]:
--- a/libs/daemon/src/bergamotsail/daemon/__init__.py
+++ b/libs/daemon/src/bergamotsail/daemon/__init__.py
@@ -9,8 +9,8 @@
 from bergamotsail.daemon import _bounded_body
 from bergamotsail.daemon import _peer_endpoint
 from bergamotsail.daemon import _process
+from bergamotsail.daemon import _process_monitor
 from bergamotsail.daemon import _roles
-from bergamotsail.daemon import _vitals
 from bergamotsail import wire
 
 BODY_BYTES = _bounded_body.BODY_BYTES
@@ -28,7 +28,7 @@
 wait_for_stop_signal = _process.wait_for_stop_signal
 LoopLag = _peer_endpoint.LoopLag
 PeerEndpoint = _peer_endpoint.PeerEndpoint
-ProcessMonitor = _vitals.ProcessMonitor
+ProcessMonitor = _process_monitor.ProcessMonitor
 application_without_access_log = _access_log.application_without_access_log
 
 __getattr__ = wire.lazy_names(
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -19,7 +19,7 @@
 from bergamotsail import control
 from bergamotsail.daemon import _access_log
 from bergamotsail.daemon import _peer_endpoint
-from bergamotsail.daemon import _vitals
+from bergamotsail.daemon import _process_monitor
 from bergamotsail import observe
 from bergamotsail import placement
 from bergamotsail import quorum
@@ -216,7 +216,7 @@
         self.server = wire.PeerServer()
         self.lag = _peer_endpoint.LoopLag(clock)
         self.metrics = metrics or observe.Metrics()
-        self.process_monitor = _vitals.ProcessMonitor(
+        self.process_monitor = _process_monitor.ProcessMonitor(
             self.lag, self.metrics, clock
         )
         self.peer_endpoint = _peer_endpoint.PeerEndpoint(
@@ -296,7 +296,7 @@
     async def __aexit__(self, *_: object) -> None:
         await self._stack.aclose()
 
-    async def failed(self) -> None:
+    async def wait_failed(self) -> None:
         """Wait until the disk fails; a restart then reads its contents."""
         while self.node.role is not quorum.Role.FAILED:
             await asyncio.sleep(DISK_FAILURE_POLL_S)
@@ -423,7 +423,7 @@
             self.server, settings.peer_token, self.lag, self.metrics
         )
         self.leader = control.Leader(transport, settings.seeds)
-        self.process_monitor = _vitals.ProcessMonitor(
+        self.process_monitor = _process_monitor.ProcessMonitor(
             self.lag, self.metrics, clock, role="entry"
         )
         self.session = control.Session(
