--- a/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_admin_handlers.py
@@ -90,7 +90,11 @@
             ) from None
 
     def fresh_view(self) -> catalogue.View:
-        """Return the catalogue view; raises if this daemon's lease ended."""
+        """Return the catalogue view.
+
+        Raises:
+            LeaseLostError: this daemon's lease has expired.
+        """
         self.daemon.session.check_fresh()
         return self.daemon.session.view
 
@@ -223,7 +227,7 @@
 
 
 class WatchHandler(AdminHandler):
-    """Long poll for changes after a revision."""
+    """Long poll for entries set after a revision; omits deletions."""
 
     async def get(self) -> None:
         """Respond with newer entries, or an empty list after a timeout."""
@@ -270,7 +274,7 @@
             )
         except wire.ServingError as error:
             logging.info(
-                "admin: Status of the leader is unavailable: %s",
+                "admin: Could not get the status from the leader: %s",
                 error.message,
             )
         ownership_by_target = session.view.ownership_by_target
@@ -296,7 +300,7 @@
     """Returns the metrics, encoded for merging or human-readable."""
 
     async def get(self) -> None:
-        """Return the metrics; ``form=readable`` selects the form."""
+        """Return the metrics; ``form=readable`` returns percentiles."""
         await self.serve(self._answer())
 
     async def _answer(self) -> None:
--- a/libs/daemon/src/bergamotsail/daemon/_base_handler.py
+++ b/libs/daemon/src/bergamotsail/daemon/_base_handler.py
@@ -100,7 +100,7 @@
         self.finish(wire.encode(value))
 
     def write_error(self, status_code: int, **_: typing.Any) -> None:
-        """Replace tornado's own error pages by typed errors."""
+        """Send a typed error instead of tornado's error page."""
         self.send_error_response(
             wire.BadRequestError("Malformed request. See the README.")
             if status_code < 500
--- a/libs/daemon/src/bergamotsail/daemon/_bounded_body.py
+++ b/libs/daemon/src/bergamotsail/daemon/_bounded_body.py
@@ -1,4 +1,4 @@
-"""Request bodies with a size limit whose refusal reaches the caller."""
+"""Size limit of request bodies, with an error that the caller receives."""
 
 from tornado import web
 
@@ -19,10 +19,11 @@
 class BoundedBodyHandler(web.RequestHandler):
     """Buffers a request body up to a limit.
 
-    A response before the body is read would close the connection with
-    unread data. That resets it, and a caller that is still sending loses
-    the response. So the rest of a refused body is read and discarded first.
-    *refused* then holds the error when the handler's HTTP method runs.
+    If the response were sent before the whole body was read, the connection
+    would be closed with unread data. That resets it, and a caller that is
+    still sending loses the response. So the rest of a refused body is read
+    and discarded first. *refused* then holds the error when the handler's
+    HTTP method runs.
     """
 
     max_body_bytes = 0
--- a/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -29,7 +29,9 @@
 SHED_LOG_INTERVAL_S = 1.0
 # Metric label of all calls without a handler.
 OTHER_CALLS = "other"
-NOT_FOUND = wire.NotFoundError("This address serves calls of daemons only.")
+NOT_FOUND = wire.NotFoundError(
+    "This address serves only calls from other daemons."
+)
 
 
 class LoopLag:
@@ -85,8 +87,8 @@
 
     Sheds load: a call registered with ``shed_after_s`` is refused, before
     its body is parsed, while the loop lag is larger than that. This leaves
-    time for the calls that keep the leader in office, such as votes and log
-    replication.
+    time for the calls without which the leader would be replaced, such as
+    log replication, and for votes.
     """
 
     def __init__(
@@ -133,7 +135,10 @@
             raise NOT_FOUND
         given = request.headers.get(wire.TOKEN_HEADER, "").encode()
         if not hmac.compare_digest(given, self._token):
-            raise wire.UnauthenticatedError("This route is for daemons only.")
+            raise wire.UnauthenticatedError(
+                "Missing or invalid peer token. Check that all daemons have "
+                "the same peer token."
+            )
         name = request.path.removeprefix(wire.PEER_PATH)
         call, handler = self._server.find(name)
         self._check_lag(name)
--- a/libs/daemon/src/bergamotsail/daemon/_peer_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_handlers.py
@@ -15,7 +15,7 @@
     """Dispatches a peer's call to its handler."""
 
     prefix = "peer"
-    # The refused peer gets the reason and logs it if it is relevant there.
+    # The peer gets the reason of a refusal, and logs it if it matters there.
     refusal_level = logging.DEBUG
 
     async def post(self, name: str) -> None:
@@ -26,7 +26,10 @@
         token = self.request.headers.get(TOKEN_HEADER, "")
         secret = self.daemon.settings.peer_token
         if not hmac.compare_digest(token.encode(), secret.encode()):
-            raise wire.UnauthenticatedError("This route is for daemons only.")
+            raise wire.UnauthenticatedError(
+                "Missing or invalid peer token. Check that all daemons have "
+                "the same peer token."
+            )
         call, handler = self.daemon.server.find(name)
         message = wire.decode(self.body, call.request)
         if call.streams:
--- a/libs/daemon/src/bergamotsail/daemon/_process_monitor.py
+++ b/libs/daemon/src/bergamotsail/daemon/_process_monitor.py
@@ -54,14 +54,14 @@
 class ProcessMonitor(quorum.ElectionObserver):
     """Logs resource use of this process; an async context manager.
 
-    Adds it to each election event. Once a second it records the largest
-    loop lag in the metrics, and logs an event if that exceeds
+    Adds the resource use to each election event. Once a second it records
+    the largest loop lag in the metrics, and logs an event if that exceeds
     LAG_LOG_THRESHOLD_S. Every WORK_LOG_INTERVAL_S it logs the work done,
     by kind.
 
     Args:
-        lag: must be entered before this.
-        role: role of this process in those events.
+        lag: must be entered before this context manager.
+        role: role of this process, a field of the event "work".
     """
 
     def __init__(
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -51,8 +51,9 @@
         peer_token: shared secret that authenticates daemons to each other.
         initial_order_delay_s: how long a new leader waits before its
             first order; 0 where engines check fencing tokens.
-        order_lease_s: minimum age of this process's last order before it
-            may give orders again, once another process may have given some.
+        order_lease_s: how old this process's last order must be before it
+            gives orders again, if another process may have given orders
+            since.
         places: settings of the placement decisions.
         tolerated_failures: number of simultaneous replica failures to
             tolerate, including loss of their disks while all other replicas
@@ -78,9 +79,9 @@
     def voters(self) -> int:
         """Number of voters, so that a majority survives *tolerated_failures*.
 
-        The number of seeds does not set it: with three seeds as the only
-        voters, losing two disks would end the log for good. At least one
-        failure is always tolerated.
+        It does not depend on the number of seeds: if only three seeds
+        voted, losing two disks would leave the log without a majority
+        permanently. At least one failure is always tolerated.
         """
         return 2 * max(self.tolerated_failures, 1) + 1
 
@@ -102,7 +103,7 @@
     """Serves counters, histograms and the count of dropped log lines."""
 
     def initialize(self, metrics: observe.Metrics) -> None:
-        """Store the handler arguments of the application."""
+        """Store the metrics, an argument of the route."""
         self._metrics = metrics
 
     def get(self) -> None:
@@ -119,7 +120,7 @@
 
 
 class _NodeLeadership(placement.Leadership):
-    """Grants the right to give orders to the leader of the log."""
+    """Leadership of the placer, based on the leader lease of the log."""
 
     def __init__(self, node: quorum.Node) -> None:
         self._node = node
@@ -297,7 +298,7 @@
         await self._stack.aclose()
 
     async def wait_failed(self) -> None:
-        """Wait until the disk fails; a restart then reads its contents."""
+        """Wait until the disk fails; the process must then restart."""
         while self.node.role is not quorum.Role.FAILED:
             await asyncio.sleep(DISK_FAILURE_POLL_S)
         logging.error("replica: Disk failure: %s", self.node.error)
@@ -489,7 +490,10 @@
         return has_routes and not self.stopping and not self._has_lost_leader()
 
     def _has_lost_leader(self) -> bool:
-        """Whether the leader was silent for longer than an election takes."""
+        """Whether the last acknowledged heartbeat is too old.
+
+        MAX_LEADER_SILENCE_S is longer than an election takes.
+        """
         return self.session.silent_s() > MAX_LEADER_SILENCE_S
 
     def addresses(self, datacentre: str) -> list[str]:
@@ -534,5 +538,6 @@
                 break
             await asyncio.sleep(STOP_POLL_S)
         logging.info(
-            "stop: Shutdown complete. active=%d", self.forwarder.active
+            "stop: Finished draining; %d requests are still active.",
+            self.forwarder.active,
         )
