--- a/libs/daemon/src/bergamotsail/daemon/cli.py
+++ b/libs/daemon/src/bergamotsail/daemon/cli.py
@@ -38,10 +38,10 @@
     "token", None, f"Token; ${TOKEN_VARIABLE} by default."
 )
 _JSON = flags.DEFINE_bool("json", False, "Print JSON instead of a table.")
-_REVISION = flags.DEFINE_integer(
+_IF_REVISION = flags.DEFINE_integer(
     "if_revision", None, "Change only if the entry is at this revision."
 )
-_OPERATION = flags.DEFINE_string(
+_OPERATION_ID = flags.DEFINE_string(
     "operation_id", None, "Idempotency key of the change, to retry it safely."
 )
 _FILE = flags.DEFINE_string(
@@ -157,7 +157,7 @@
         max(len(str(row[i])) for row in table) for i in range(len(header))
     ]
     for row in table:
-        cells = (str(cell).ljust(w) for cell, w in zip(row, widths))
+        cells = (str(cell).ljust(width) for cell, width in zip(row, widths))
         print("  ".join(cells).rstrip())
 
 
@@ -171,8 +171,8 @@
         "delete": (_delete, 2),
         "history": (_history, 0),
     }
-    handler, count = handlers.get(action, (None, 0))
-    if handler is None or len(rest) != count:
+    handler, argument_count = handlers.get(action, (None, 0))
+    if handler is None or len(rest) != argument_count:
         raise UsageError("Unknown catalogue command or wrong arguments.")
     await handler(client, *rest)
 
@@ -200,8 +200,8 @@
 
 def _change_headers(operation_id: str) -> dict[str, str]:
     headers = {"X-Operation-Id": operation_id}
-    if _REVISION.value is not None:
-        headers["If-Match"] = f'"{_REVISION.value}"'
+    if _IF_REVISION.value is not None:
+        headers["If-Match"] = f'"{_IF_REVISION.value}"'
     return headers
 
 
@@ -217,7 +217,7 @@
     The operation id makes it idempotent, so a retry after a lost response
     does not apply it twice.
     """
-    operation_id = _OPERATION.value or uuid.uuid4().hex
+    operation_id = _OPERATION_ID.value or uuid.uuid4().hex
     headers = _change_headers(operation_id)
     path = f"/admin/v1/entries/{kind}/{entry_id}"
     for _ in range(RETRIES):
@@ -309,15 +309,15 @@
 
 def _target_row(target: dict[str, typing.Any]) -> tuple:
     info = target["info"]
-    state = info["status"] or {}
-    load = f"{state.get('running', 0)}+{state.get('queued', 0)}"
+    status = info["status"] or {}
+    load = f"{status.get('running', 0)}+{status.get('queued', 0)}"
     return (
         info["id"],
         info["pool"],
         "leaving" if info["leaving"] else "live",
         (target["owner"] or "-").partition("#")[0],
         target["epoch"],
-        len(state.get("residents", ())),
+        len(status.get("residents", ())),
         load,
     )
 
@@ -404,13 +404,15 @@
 
 
 def _explain_settings() -> int:
-    notes = list(settings_lib.explain())
+    settings = list(settings_lib.explain())
     rows = [
-        (note.path, note.kind, note.default, note.allowed, note.note)
-        for note in notes
+        (item.path, item.kind, item.default, item.allowed, item.note)
+        for item in settings
     ]
     header = ("SETTING", "TYPE", "DEFAULT", "ALLOWED", "MEANING")
-    _print_result([dataclasses.asdict(note) for note in notes], rows, header)
+    _print_result(
+        [dataclasses.asdict(item) for item in settings], rows, header
+    )
     return 0
 
 
@@ -425,8 +427,8 @@
     request_traces = explain.request_traces(events)
     print("\n".join(explain.summary(request_traces, events)))
     if _REPORT.value is not None:
-        page = pathlib.Path(_REPORT.value)
-        explain.write_report(page, request_traces, events)
+        report_path = pathlib.Path(_REPORT.value)
+        explain.write_report(report_path, request_traces, events)
     return 0
 
 
