--- a/libs/wire/src/bergamotsail/wire/_curl.py
+++ b/libs/wire/src/bergamotsail/wire/_curl.py
@@ -52,9 +52,10 @@
     Leaving it before the end closes the connection at once.
 
     Args:
-        target: the path and query exactly as they are sent; taken from the
-            URL when None.
-        pairs: headers in order; those of the request are used when None.
+        request_target: the path and query exactly as they are sent; taken
+            from the URL when None.
+        request_headers: headers in order; those of the request are used
+            when None.
         keep: whether to reuse an open connection and keep it open for reuse.
     """
 
@@ -62,19 +63,19 @@
         self,
         client: "CurlClient",
         request: _http.HttpRequest,
-        target: str | None = None,
-        pairs: collections.abc.Sequence[Header] | None = None,
+        request_target: str | None = None,
+        request_headers: collections.abc.Sequence[Header] | None = None,
         keep: bool = False,
     ) -> None:
         self.sent = False
         self._client = client
         self._request = request
-        self._target = target
-        self._pairs = pairs
+        self._request_target = request_target
+        self._request_headers = request_headers
         self._keep = keep
         self._curl: pycurl.Curl | None = None
         self._status = 0
-        self._headers: list[Header] = []
+        self._reply_headers: list[Header] = []
         self._head: asyncio.Future[ReplyHead] | None = None
         self._pieces: collections.deque[bytes] = collections.deque()
         self._buffered = 0
@@ -136,8 +137,8 @@
         curl = pycurl.Curl()
         curl.setopt(pycurl.URL, request.url)
         curl.setopt(pycurl.PATH_AS_IS, 1)
-        if self._target is not None:
-            curl.setopt(pycurl.REQUEST_TARGET, self._target)
+        if self._request_target is not None:
+            curl.setopt(pycurl.REQUEST_TARGET, self._request_target)
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
         curl.setopt(pycurl.HTTP09_ALLOWED, 0)
@@ -171,15 +172,15 @@
         curl.setopt(pycurl.CUSTOMREQUEST, request.method)
 
     def _header_lines(self) -> list[bytes]:
-        pairs = self._pairs
-        if pairs is None:
-            pairs = tuple(self._request.headers.items())
-        given = {name.lower() for name, _ in pairs}
+        headers = self._request_headers
+        if headers is None:
+            headers = tuple(self._request.headers.items())
+        given = {name.lower() for name, _ in headers}
         # "Name:" stops libcurl from adding its own header, and "Name;" sends
         # a header without a value.
         added = ("Accept", "Expect", "User-Agent", "Content-Type")
         lines = [f"{name}:" for name in added if name.lower() not in given]
-        for name, value in pairs:
+        for name, value in headers:
             lines.append(f"{name}: {value}" if value else f"{name};")
         return [line.encode("latin-1", "replace") for line in lines]
 
@@ -198,16 +199,16 @@
         if text.startswith("HTTP/"):
             parts = text.split(None, 2)
             self._status = int(parts[1]) if len(parts) > 1 else 0
-            self._headers = []
+            self._reply_headers = []
         elif text:
             name, _, value = text.partition(":")
-            self._headers.append((name.strip(), value.strip()))
+            self._reply_headers.append((name.strip(), value.strip()))
         elif self._status >= 200:
             self._set_head()
 
     def _set_head(self) -> None:
         if self._head is not None and not self._head.done():
-            head = ReplyHead(self._status, tuple(self._headers))
+            head = ReplyHead(self._status, tuple(self._reply_headers))
             self._head.set_result(head)
 
     def _on_piece(self, piece: bytes) -> int | None:
@@ -243,11 +244,13 @@
         request = self._request
         text = f"{request.method} {request.url}: {error[0]} {error[1]}"
         if self.sent:
-            silent = error[0] == pycurl.E_OPERATION_TIMEDOUT
-            kind = (
-                _errors.PeerTimeoutError if silent else _errors.PeerLostError
+            timed_out = error[0] == pycurl.E_OPERATION_TIMEDOUT
+            error_type = (
+                _errors.PeerTimeoutError
+                if timed_out
+                else _errors.PeerLostError
             )
-            return kind(
+            return error_type(
                 f"No complete reply was received ({text}). Retry only if the "
                 "work may be repeated."
             )
@@ -295,12 +298,12 @@
     def open(
         self,
         request: _http.HttpRequest,
-        target: str | None = None,
-        pairs: collections.abc.Sequence[Header] | None = None,
+        request_target: str | None = None,
+        request_headers: collections.abc.Sequence[Header] | None = None,
         keep: bool = False,
     ) -> Exchange:
         """Return an exchange; entering it sends the request."""
-        return Exchange(self, request, target, pairs, keep)
+        return Exchange(self, request, request_target, request_headers, keep)
 
     async def fetch(self, request: _http.HttpRequest) -> _http.HttpReply:
         """Send a request and return the complete reply, of any status."""
