--- a/libs/explain/src/bergamotsail/explain/_report.py
+++ b/libs/explain/src/bergamotsail/explain/_report.py
@@ -45,13 +45,13 @@
     waits = [
         trace.wait_s for trace in request_traces if trace.wait_s is not None
     ]
-    engines = [
+    engine_times = [
         trace.engine_s
         for trace in request_traces
         if trace.engine_s is not None
     ]
     yield "Wait for placement, seconds", _histogram(waits)
-    yield "From send to first answer, seconds", _histogram(engines)
+    yield "From send to first answer, seconds", _histogram(engine_times)
     estimated = [
         trace
         for trace in request_traces
--- a/libs/explain/src/bergamotsail/explain/_summary.py
+++ b/libs/explain/src/bergamotsail/explain/_summary.py
@@ -33,15 +33,15 @@
 ) -> list[str]:
     """Return the lines of the tables over all requests."""
     return [
-        *_stages(request_traces),
+        *_stage_times(request_traces),
         "",
         *_outcomes(request_traces),
         "",
         *_backlog_accuracy(request_traces),
         "",
-        *_loads(events),
+        *_load_times(events),
         "",
-        *_engines(request_traces),
+        *_engine_times(request_traces),
         "",
         *_refusals(events),
         "",
@@ -59,27 +59,29 @@
     return f"{title:32}{'n':>7}{cells}"
 
 
-def _stages(
+def _stage_times(
     request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     yield _header("stage, s")
     by_route: dict[str, list[RequestTrace]] = collections.defaultdict(list)
     for trace in request_traces:
         by_route[trace.route].append(trace)
-    for route, own in sorted(by_route.items()):
-        waits = [trace.wait_s for trace in own if trace.wait_s is not None]
-        engines = [
-            trace.engine_s for trace in own if trace.engine_s is not None
+    for route, traces in sorted(by_route.items()):
+        waits = [trace.wait_s for trace in traces if trace.wait_s is not None]
+        engine_times = [
+            trace.engine_s for trace in traces if trace.engine_s is not None
+        ]
+        first_answer_times = [
+            trace.first_s for trace in traces if trace.first_s is not None
         ]
-        firsts = [trace.first_s for trace in own if trace.first_s is not None]
         pauses = [
-            trace.longest_pause_s for trace in own if trace.longest_pause_s
+            trace.longest_pause_s for trace in traces if trace.longest_pause_s
         ]
         yield _row(f"{route} wait for placement", waits)
-        yield _row(f"{route} at the target", engines)
-        yield _row(f"{route} first answer", firsts)
+        yield _row(f"{route} at the target", engine_times)
+        yield _row(f"{route} first answer", first_answer_times)
         yield _row(f"{route} longest pause", pauses)
-        yield _row(f"{route} total", [trace.took_s for trace in own])
+        yield _row(f"{route} total", [trace.took_s for trace in traces])
 
 
 def _outcomes(
@@ -116,7 +118,7 @@
         lower_s = upper_s
 
 
-def _loads(
+def _load_times(
     events: collections.abc.Sequence[Event],
 ) -> collections.abc.Iterator[str]:
     started: dict[tuple[str, object, object], Event] = {}
@@ -150,7 +152,7 @@
     )
 
 
-def _engines(
+def _engine_times(
     request_traces: collections.abc.Sequence[RequestTrace],
 ) -> collections.abc.Iterator[str]:
     """Show the distribution of load over the engines."""
@@ -160,22 +162,22 @@
             by_target[trace.target].append(trace)
     yield _header("time by engine, s")
     busiest = sorted(by_target.items(), key=lambda item: -len(item[1]))
-    for target, own in busiest[:MAX_ENGINE_ROWS]:
-        engines = [
-            trace.engine_s for trace in own if trace.engine_s is not None
+    for target, traces in busiest[:MAX_ENGINE_ROWS]:
+        engine_times = [
+            trace.engine_s for trace in traces if trace.engine_s is not None
         ]
-        tokens = sum(trace.new_tokens or 0 for trace in own)
-        yield f"{_row(target, engines)}  {tokens} tokens"
+        tokens = sum(trace.new_tokens or 0 for trace in traces)
+        yield f"{_row(target, engine_times)}  {tokens} tokens"
 
 
 def _refusals(
     events: collections.abc.Sequence[Event],
 ) -> collections.abc.Iterator[str]:
     refused = [e for e in events if (e.part, e.what) == ("place", "refuse")]
-    free = [e for e in refused if e.number("usable") > 0]
+    with_usable_engines = [e for e in refused if e.number("usable") > 0]
     yield (
         f"places refused: {len(refused)}, of these with engines that had"
-        f" room for the request: {len(free)}"
+        f" room for the request: {len(with_usable_engines)}"
     )
 
 
@@ -187,13 +189,15 @@
     The clocks of daemons differ, so times are relative to the first event
     of each daemon.
     """
-    own = [event for event in events if event.request == request]
+    request_events = [event for event in events if event.request == request]
     lines: list[str] = []
-    for daemon in dict.fromkeys(event.daemon for event in own):
-        here = [event for event in own if event.daemon == daemon]
+    for daemon in dict.fromkeys(event.daemon for event in request_events):
+        daemon_events = [
+            event for event in request_events if event.daemon == daemon
+        ]
         lines.append(daemon)
-        for event in here:
-            after_s = event.at_s - here[0].at_s
+        for event in daemon_events:
+            after_s = event.at_s - daemon_events[0].at_s
             lines.append(
                 f"  {after_s:+9.4f} s  {event.part} {event.what}:"
                 f" {_format_fields(event.fields)}"
--- a/libs/explain/src/bergamotsail/explain/_traces.py
+++ b/libs/explain/src/bergamotsail/explain/_traces.py
@@ -57,9 +57,9 @@
             by_request[event.request].append(event)
     return [
         trace
-        for own in by_request.values()
-        for end in _select(own, "route", "end")
-        if (trace := _trace(end, own)) is not None
+        for request_events in by_request.values()
+        for end in _select(request_events, "route", "end")
+        if (trace := _trace(end, request_events)) is not None
     ]
 
 
@@ -67,8 +67,8 @@
     return [e for e in events if (e.part, e.what) == (part, what)]
 
 
-def _trace(end: Event, own: list[Event]) -> RequestTrace | None:
-    local_events = [e for e in own if e.daemon == end.daemon]
+def _trace(end: Event, request_events: list[Event]) -> RequestTrace | None:
+    local_events = [e for e in request_events if e.daemon == end.daemon]
     took_s = end.number("took_s")
     arrived_s = end.at_s - took_s
     sends = _select(local_events, "route", "send")
@@ -77,7 +77,7 @@
     engine_s = None
     if first_s is not None and wait_s is not None:
         engine_s = max(first_s - wait_s, 0.0)
-    grants = _select(own, "place", "grant")
+    grants = _select(request_events, "place", "grant")
     grant = grants[0] if grants else None
     adapter = end.fields.get("adapter")
     return RequestTrace(
--- a/libs/explain/src/bergamotsail/explain/_work.py
+++ b/libs/explain/src/bergamotsail/explain/_work.py
@@ -38,34 +38,36 @@
     for event in events:
         if (event.part, event.what) == ("vitals", "work"):
             role = str(event.fields.get("role", "-"))
-            own = by_role.setdefault(role, collections.defaultdict(list))
-            own[event.daemon].append(event)
-    for role, lines_by_daemon in sorted(by_role.items()):
-        yield from _table(role, lines_by_daemon)
+            events_by_daemon = by_role.setdefault(
+                role, collections.defaultdict(list)
+            )
+            events_by_daemon[event.daemon].append(event)
+    for role, events_by_daemon in sorted(by_role.items()):
+        yield from _table(role, events_by_daemon)
         yield ""
 
 
 def _table(
-    role: str, lines_by_daemon: dict[str, list[Event]]
+    role: str, events_by_daemon: dict[str, list[Event]]
 ) -> collections.abc.Iterator[str]:
     busiest = max(
-        lines_by_daemon, key=lambda d: _utilization(lines_by_daemon[d])
+        events_by_daemon, key=lambda d: _utilization(events_by_daemon[d])
     )
-    all_lines = [line for own in lines_by_daemon.values() for line in own]
-    yield from _rows(f"{role}, mean of {len(lines_by_daemon)}", all_lines)
-    yield from _rows(f"{role}, busiest {busiest}", lines_by_daemon[busiest])
+    all_events = [e for events in events_by_daemon.values() for e in events]
+    yield from _rows(f"{role}, mean of {len(events_by_daemon)}", all_events)
+    yield from _rows(f"{role}, busiest {busiest}", events_by_daemon[busiest])
 
 
-def _utilization(lines: list[Event]) -> float:
+def _utilization(events: list[Event]) -> float:
     """Return the fraction of the time in which a process worked."""
-    over_s = sum(line.number("over_s") for line in lines)
-    took_s = sum(done.took_s for done in _totals_by_kind(lines).values())
+    over_s = sum(event.number("over_s") for event in events)
+    took_s = sum(done.took_s for done in _totals_by_kind(events).values())
     return took_s / over_s if over_s else 0.0
 
 
-def _rows(title: str, lines: list[Event]) -> collections.abc.Iterator[str]:
-    over_s = sum(line.number("over_s") for line in lines)
-    memory_mb = max(line.number("resident_mb") for line in lines)
+def _rows(title: str, events: list[Event]) -> collections.abc.Iterator[str]:
+    over_s = sum(event.number("over_s") for event in events)
+    memory_mb = max(event.number("resident_mb") for event in events)
     yield (
         f"{title:44}{'ms/s':>9}{'calls/s':>9}{'KB/s in':>9}"
         f"{'KB/s out':>9}   {memory_mb:.0f} MB at most"
@@ -73,7 +75,7 @@
     if not over_s:
         return
     ranked = sorted(
-        _totals_by_kind(lines).items(), key=lambda item: -item[1].took_s
+        _totals_by_kind(events).items(), key=lambda item: -item[1].took_s
     )
     for kind, done in ranked[:MAX_KIND_ROWS]:
         yield (
@@ -84,12 +86,12 @@
         )
 
 
-def _totals_by_kind(lines: list[Event]) -> dict[str, _WorkTotals]:
+def _totals_by_kind(events: list[Event]) -> dict[str, _WorkTotals]:
     totals_by_kind: dict[str, _WorkTotals] = collections.defaultdict(
         _WorkTotals
     )
-    for line in lines:
-        by_kind = line.fields.get("by_kind")
+    for event in events:
+        by_kind = event.fields.get("by_kind")
         if isinstance(by_kind, dict):
             for kind, values in by_kind.items():
                 totals_by_kind[kind].add(values)
