--- a/features/cli.feature
+++ b/features/cli.feature
@@ -29,6 +29,6 @@
       | nonsense                                         | 2    | Usage      |
       | catalogue list                                   | 2    | Usage      |
       | status --addresses=127.0.0.1:1                   | 3    | not_sent   |
-      | check-settings SETTINGS                          | 0    | is good    |
+      | check-settings SETTINGS                          | 0    | is valid   |
       | check-settings /nowhere                          | 2    | can't be read |
       | explain-settings                                 | 0    | lease_s    |
--- a/features/explain.feature
+++ b/features/explain.feature
@@ -4,7 +4,7 @@
     Given the logs of an entry and of a holder of orders
     When they are explained
     Then the request that waited for a load shows 0.30 s and 0.20 s
-    And the tables show fetches, refused places and outcomes
+    And the tables show fetches, refused placements and outcomes
 
   Scenario: One request is shown line by line
     Given the logs of an entry and of a holder of orders
--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -109,12 +109,12 @@
     assert trace.loaded and trace.new_tokens == 3000, trace
 
 
-@behave.then("the tables show fetches, refused places and outcomes")
+@behave.then("the tables show fetches, refused placements and outcomes")
 def tables(context) -> None:
     text = "\n".join(context.tables)
     for wanted in (
         "fetches from the store: 1, of 1 different adapters",
-        "places refused: 1, of these with engines that had room for the",
+        "placements refused: 1, of these with engines that had room for the",
         "drafts              no_place                  1",
     ):
         assert wanted in text, (wanted, text)
--- a/libs/daemon/src/bergamotsail/daemon/cli.py
+++ b/libs/daemon/src/bergamotsail/daemon/cli.py
@@ -399,7 +399,7 @@
             print(fault, file=sys.stderr)
         return EXIT_USAGE
     role = "replica and entry" if settings.data_folder else "entry"
-    print(f"{path} is good: {settings.name} at {settings.address}, {role}.")
+    print(f"{path} is valid: {settings.name} at {settings.address}, {role}.")
     return 0
 
 
--- a/libs/explain/src/bergamotsail/explain/_events.py
+++ b/libs/explain/src/bergamotsail/explain/_events.py
@@ -1,4 +1,4 @@
-"""Parsing of event logs; any prefix before the JSON is ignored."""
+"""Parsing of event logs; any text before the JSON of a line is ignored."""
 
 import collections.abc
 import dataclasses
@@ -77,9 +77,10 @@
 
 
 def _request_id(fields: dict[str, object]) -> str | None:
-    """Return the ID of the caller's request, without its part after a dot.
+    """Return the ID of the caller's request.
 
-    The part after the dot numbers the placements of the request.
+    The field may have a suffix after a dot, which numbers the placements
+    of the request; it is removed.
     """
     request = fields.get("request")
     return None if request is None else str(request).partition(".")[0]
--- a/libs/explain/src/bergamotsail/explain/_summary.py
+++ b/libs/explain/src/bergamotsail/explain/_summary.py
@@ -11,7 +11,7 @@
 RequestTrace = _traces.RequestTrace
 PERCENTILES = (50, 75, 90, 95, 99)
 BACKLOG_BOUNDS_S = (0.02, 0.1, 0.2, 0.4, 0.8, float("inf"))
-# Loads from a copy take less time than this, fetches from the store more.
+# Loads from a copy take at most this long, fetches from the store longer.
 MAX_COPY_LOAD_S = 0.15
 MAX_ENGINE_ROWS = 12
 
@@ -176,7 +176,7 @@
     refused = [e for e in events if (e.part, e.what) == ("place", "refuse")]
     with_usable_engines = [e for e in refused if e.number("usable") > 0]
     yield (
-        f"places refused: {len(refused)}, of these with engines that had"
+        f"placements refused: {len(refused)}, of these with engines that had"
         f" room for the request: {len(with_usable_engines)}"
     )
 
--- a/libs/explain/src/bergamotsail/explain/_traces.py
+++ b/libs/explain/src/bergamotsail/explain/_traces.py
@@ -23,9 +23,9 @@
         took_s: total time, from arrival to the end.
         code: code of the outcome.
         loaded: whether its adapter had to be loaded first.
-        backlog_s: estimated wait at the engine before its prompt is read.
-        new_tokens: estimated prompt tokens that were not cached there.
-        running: requests that were already running there.
+        backlog_s: estimated wait at the engine before prefill starts.
+        new_tokens: estimated prompt tokens not cached on the engine.
+        running: requests that were already running on the engine.
     """
 
     request: str
--- a/libs/observe/src/bergamotsail/observe/_events.py
+++ b/libs/observe/src/bergamotsail/observe/_events.py
@@ -1,8 +1,9 @@
 """Event log: one JSON line for each event, written without blocking.
 
-A thread writes the lines from a bounded queue to standard output. When the
-reader of standard output is slow, new lines are dropped, and the next line
-that is queued gives their number in its field ``dropped``.
+A thread writes the lines from a bounded queue to standard output. While the
+queue is full, because the reader of standard output is slow, new lines are
+dropped. The next line that is queued has their number in the field
+``dropped``.
 """
 
 import json
@@ -16,7 +17,14 @@
 
 
 class EventLog:
-    """Event log with a writer thread; a context manager."""
+    """Event log with a writer thread; a context manager.
+
+    While it is entered, it receives all events of the process.
+
+    Args:
+        origin: name of the process, the field ``at`` of each line.
+        stream: text stream to write to; standard output when None.
+    """
 
     def __init__(self, origin: str, stream=None) -> None:
         self._origin = origin
--- a/libs/wire/src/bergamotsail/wire/_errors.py
+++ b/libs/wire/src/bergamotsail/wire/_errors.py
@@ -173,7 +173,7 @@
 
 
 class OtherCopyError(QuarantinedError):
-    """Targets that ran this request crashed, and a copy of it runs now."""
+    """Targets that ran this request crashed, and another copy still runs."""
 
     code = "other_copy"
 
--- a/libs/wire/src/bergamotsail/wire/_tokens.py
+++ b/libs/wire/src/bergamotsail/wire/_tokens.py
@@ -13,8 +13,8 @@
     """Return a new, unique token of 16 hex digits.
 
     The system's random numbers alone may be equal in processes that start
-    at the same moment on identical instances, so the daemon's name, the
-    process ID and the clocks are included.
+    at the same moment on identical instances, so the name, the process ID
+    and the clocks are included.
     """
     parts = (
         name,
