--- a/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -29,7 +29,9 @@
 SHED_LOG_INTERVAL_S = 1.0
 # Metric label of all calls without a handler.
 OTHER_CALLS = "other"
-NOT_FOUND = wire.NotFoundError("This address serves calls of daemons only.")
+NOT_FOUND = wire.NotFoundError(
+    "This address serves only calls from other daemons."
+)
 
 
 class LoopLag:
@@ -85,8 +87,8 @@
 
     Sheds load: a call registered with ``shed_after_s`` is refused, before
     its body is parsed, while the loop lag is larger than that. This leaves
-    time for the calls that keep the leader in office, such as votes and log
-    replication.
+    time for the calls without which the leader would be replaced, such as
+    log replication, and for votes.
     """
 
     def __init__(
@@ -102,7 +104,7 @@
         self._tasks: set[asyncio.Task] = set()
         self.shed_count = 0
         self._metrics = metrics or observe.Metrics()
-        self._shed_logged = 0
+        self._logged_shed_count = 0
         self._next_shed_log_at = float("-inf")
 
     def __call__(self, request: httputil.HTTPServerRequest) -> None:
@@ -118,7 +120,7 @@
 
     async def _answer(self, request: httputil.HTTPServerRequest) -> None:
         try:
-            await self._answer_call(request)
+            await self._dispatch(request)
         except iostream.StreamClosedError:
             logging.debug("peer: Caller closed the connection.")
         except wire.ServingError as error:
@@ -128,12 +130,15 @@
             error = wire.InternalError("Internal error. See the log.")
             _send(request, error.status, wire.encode(error.body()))
 
-    async def _answer_call(self, request: httputil.HTTPServerRequest) -> None:
+    async def _dispatch(self, request: httputil.HTTPServerRequest) -> None:
         if not request.path.startswith(wire.PEER_PATH):
             raise NOT_FOUND
         given = request.headers.get(wire.TOKEN_HEADER, "").encode()
         if not hmac.compare_digest(given, self._token):
-            raise wire.UnauthenticatedError("This route is for daemons only.")
+            raise wire.UnauthenticatedError(
+                "Missing or invalid peer token. Check that all daemons have "
+                "the same peer token."
+            )
         name = request.path.removeprefix(wire.PEER_PATH)
         call, handler = self._server.find(name)
         self._check_lag(name)
@@ -163,8 +168,8 @@
         if now < self._next_shed_log_at:
             return
         self._next_shed_log_at = now + SHED_LOG_INTERVAL_S
-        count, self._shed_logged = (
-            self.shed_count - self._shed_logged,
+        count, self._logged_shed_count = (
+            self.shed_count - self._logged_shed_count,
             self.shed_count,
         )
         observe.log_event(
