--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -181,7 +181,7 @@
     (
         "tell all targets in one answer",
         "links",
-        (control.DigestLog, "_until", _return_newest_version),
+        (control.DigestLog, "_last_version_that_fits", _return_newest_version),
     ),
     (
         "leave the rest for the next heartbeat",
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -381,7 +381,7 @@
     (
         "refuse at once while nobody leads",
         "held_until_one_leads",
-        (_coordinator, "HOLD_S", 0.0),
+        (_coordinator, "HEARTBEAT_HOLD_S", 0.0),
     ),
 )
 
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -33,18 +33,18 @@
 # Bytes of catalogue changes in a heartbeat reply. A 1 Mbit/s link transfers
 # them in 0.5 s; daemons wait at least 0.6 s for a reply.
 MAX_EFFECT_BYTES = 65_536
-STATE_BATCH = 500
+MAX_EFFECTS_PER_PIECE = 500
 # Bytes in one piece of a route table: a 1 Mbit/s link transfers it well within
 # the second without a piece after which a fetch is aborted.
-STATE_PART_BYTES = 32_768
+MAX_PIECE_BYTES = 32_768
 RELAY_TIMEOUT_S = 2.0
 LEADER_ROUND_INTERVAL_S = 0.25
 LEAD_POLL_S = 0.05
 MILLI = 1000
 # Longest that a heartbeat is held while there is no leader. Daemons wait 0.6 s
 # for a reply, and an election takes 0.5 to 0.9 s.
-HOLD_S = 0.45
-HOLD_POLL_S = 0.02
+HEARTBEAT_HOLD_S = 0.45
+HEARTBEAT_HOLD_POLL_S = 0.02
 
 
 class UseTracker(abc.ABC):
@@ -102,14 +102,14 @@
         term: int,
         now: float,
         quarantine: _quarantine.Quarantine,
-        notes: _share_notes.ShareNotes,
+        share_bounds: _share_notes.ShareBounds,
     ) -> None:
         self.quarantine = quarantine
         self.term = term
         self.started_at = now
         self.digest = _digest.DigestLog(term)
         self.ledger = _ledger.Ledger()
-        self.notes = notes
+        self.share_bounds = share_bounds
         self.undeclared: set[str] = set()
         self.lapsed_until_by_boot: dict[str, float] = {}
         self.fleet = _fleet.Fleet()
@@ -193,7 +193,7 @@
         """Renew a session."""
         arrived_at = self._clock.now()
         if not await self._await_leadership(
-            HOLD_S if _may_hold(request) else 0.0
+            HEARTBEAT_HOLD_S if _may_be_held(request) else 0.0
         ):
             return await self._relay(_messages.HEARTBEAT, request)
         term = self._current_term()
@@ -210,10 +210,12 @@
         session.daemon = daemon
         session.runs_last_s = request.runs_last_s
         self._declare_shares(term, request)
-        share_by_key = self._shares(term, request)
+        share_by_key = self._grant_shares(term, request)
         if share_by_key:
             held_by_key = term.ledger.held(daemon.boot)
-            await term.notes.cover(daemon, request.runs_last_s, held_by_key)
+            await term.share_bounds.ensure_covered(
+                daemon, request.runs_last_s, held_by_key
+            )
         await term.quarantine.take(daemon.boot, request.ends, arrived_at)
         if not self._node.holds_lease() or self._current_term() is not term:
             raise self._node.not_leader()
@@ -225,7 +227,7 @@
         # The applied index covers every acknowledged change, since changes
         # are applied here first. The commit index may be ahead of *effects*.
         commit = self._machine.view.index
-        effects, behind = self._effects(request)
+        effects, behind = self._effects_for(request)
         reply = _messages.HeartbeatReply(
             self._address,
             term.term,
@@ -234,7 +236,7 @@
             behind,
             self._cap_shares(term, request, share_by_key),
             term.digest.delta(request.digest_term, request.digest_version),
-            self._hand_over(term, daemon.boot),
+            self._targets_to_hand_over(term, daemon.boot),
             tuple(member.address for member in self._node.config.members),
             term.quarantine.suspects(),
         )
@@ -255,14 +257,14 @@
         batch: list[catalogue.Effect] = []
         for effect in effects:
             *parts, last = catalogue.split_effect(
-                effect.compressed(), STATE_PART_BYTES
+                effect.compressed(), MAX_PIECE_BYTES
             )
             for part in parts:
                 yield _messages.StatePiece(index, (*batch, part), whole)
                 batch = []
                 await asyncio.sleep(0)
             batch.append(last)
-            if len(batch) >= STATE_BATCH:
+            if len(batch) >= MAX_EFFECTS_PER_PIECE:
                 yield _messages.StatePiece(index, tuple(batch), whole)
                 batch = []
                 await asyncio.sleep(0)
@@ -301,14 +303,16 @@
             return await self._relay(
                 _messages.TURN, request, request.wait_s + RELAY_TIMEOUT_S
             )
-        queue = self._store(request.store)
-        return await queue.take(request, self._weights())
+        queue = self._store_queue(request.store)
+        return await queue.take(request, self._weight_by_member())
 
     async def on_turn_end(self, request: _messages.TurnEnd) -> _messages.Done:
         """End a turn, so that the next load can start."""
         if not self._node.holds_lease():
             return await self._relay(_messages.TURN_END, request)
-        self._store(request.store).end(request.turn, self._weights())
+        self._store_queue(request.store).end(
+            request.turn, self._weight_by_member()
+        )
         return _messages.Done()
 
     async def on_alone(
@@ -349,12 +353,14 @@
         Holding a heartbeat during an election lets the daemon learn of the
         new leader at once, instead of with its next heartbeat.
         """
-        gives_up_at = self._clock.now() + hold_s
+        deadline = self._clock.now() + hold_s
         while not self._node.holds_lease():
-            known = self._node.has_leader_contact and not self._node.is_leader
-            if known or self._clock.now() >= gives_up_at:
+            other_leads = (
+                self._node.has_leader_contact and not self._node.is_leader
+            )
+            if other_leads or self._clock.now() >= deadline:
                 break
-            await self._clock.sleep(HOLD_POLL_S)
+            await self._clock.sleep(HEARTBEAT_HOLD_POLL_S)
         return self._node.holds_lease()
 
     async def _relay(
@@ -365,8 +371,12 @@
     ) -> object:
         """Forward a call to the leader, at most over one hop."""
         leader = self._node.leader
-        mine = leader is None or leader.address == self._address
-        if mine or request.relayed or not self._node.has_leader_contact:
+        no_other_leader = leader is None or leader.address == self._address
+        if (
+            no_other_leader
+            or request.relayed
+            or not self._node.has_leader_contact
+        ):
             raise self._node.not_leader()
         relayed = _relayed(request)
         return await self._transport.call(
@@ -386,10 +396,10 @@
         quarantine = _quarantine.Quarantine(
             number, lambda: self._machine.view, self._propose, self._clock
         )
-        notes = _share_notes.ShareNotes(
+        share_bounds = _share_notes.ShareBounds(
             lambda: self._machine.sharer_by_boot, self._propose
         )
-        return _Term(number, now, quarantine, notes)
+        return _Term(number, now, quarantine, share_bounds)
 
     def _initialise_term(self, term: _Term) -> None:
         """Initialise a term from the digest of this replica's own daemon.
@@ -411,8 +421,8 @@
         for sharer in self._machine.sharer_by_boot.values():
             term.undeclared.add(sharer.boot)
             term.ledger.lapse(sharer.boot, sharer.most_by_key)
-            self._set_lapsed(term, sharer.boot, sharer.runs_last_s)
-        self._publish_fleet(term)
+            self._set_lapse_end(term, sharer.boot, sharer.runs_last_s)
+        self._publish_targets(term)
 
     def _earlier_leases_expired(self, term: _Term) -> bool:
         """Whether all leases granted by earlier leaders have expired."""
@@ -445,9 +455,9 @@
             term.undeclared.discard(boot)
         held_by_key = dict(request.held_by_key)
         if boot in term.undeclared:
-            noted = self._machine.sharer_by_boot[boot].most_by_key
-            for key, most in noted.items():
-                held_by_key[key] = max(most, held_by_key.get(key, 0))
+            bound_by_key = self._machine.sharer_by_boot[boot].most_by_key
+            for key, bound in bound_by_key.items():
+                held_by_key[key] = max(bound, held_by_key.get(key, 0))
         term.lapsed_until_by_boot.pop(boot, None)
         term.ledger.declare(boot, held_by_key, request.wanted_by_key)
 
@@ -465,7 +475,9 @@
             if sharer.address == daemon.address:
                 self._free_shares(term, boot, "started again")
 
-    def _set_lapsed(self, term: _Term, boot: str, runs_last_s: float) -> None:
+    def _set_lapse_end(
+        self, term: _Term, boot: str, runs_last_s: float
+    ) -> None:
         """Set when the runs of a silent daemon have ended for certain."""
         runs_s = runs_last_s * (1 + self._timing.drift)
         lasts_s = max(runs_s, self._timing.surely_ended_s)
@@ -493,15 +505,15 @@
         still keep the rate shares that it declared.
         """
         boot = request.daemon.boot
-        allowed = {}
+        capped = {}
         for key, share in share_by_key.items():
-            most = share
+            cap = share
             if key.startswith(_ledger.CONCURRENCY_PREFIX):
-                most = term.notes.max_share(boot, key)
-            elif not term.notes.has_bounds(boot):
-                most = request.held_by_key.get(key, 0)
-            allowed[key] = min(share, most)
-        return allowed
+                cap = term.share_bounds.max_share(boot, key)
+            elif not term.share_bounds.has_bounds(boot):
+                cap = request.held_by_key.get(key, 0)
+            capped[key] = min(share, cap)
+        return capped
 
     def _record_statuses(
         self, term: _Term, request: _messages.Heartbeat
@@ -530,7 +542,7 @@
                 "list", "said_leaving", target=target, by=request.daemon.boot
             )
         if new:
-            self._publish_fleet(term)
+            self._publish_targets(term)
 
     def _put_target(
         self,
@@ -539,19 +551,19 @@
         leaving: bool,
     ) -> None:
         status = term.status_by_target.get(source.id)
-        said_so = status is not None and status.leaving
+        reported_leaving = status is not None and status.leaving
         term.digest.put_target(
             _messages.TargetInfo(
                 source.id,
                 source.pool,
                 source.address,
                 source.datacentre,
-                leaving or said_so,
+                leaving or reported_leaving,
                 status,
             )
         )
 
-    def _effects(
+    def _effects_for(
         self, request: _messages.Heartbeat
     ) -> tuple[tuple[catalogue.Effect, ...], bool]:
         if request.applied is None:
@@ -564,7 +576,7 @@
             return (), True
         return tuple(found), False
 
-    def _shares(
+    def _grant_shares(
         self, term: _Term, request: _messages.Heartbeat
     ) -> dict[str, int]:
         keys = request.held_by_key.keys() | request.wanted_by_key.keys()
@@ -582,17 +594,17 @@
             shares[key] = share
         return shares
 
-    def _hand_over(self, term: _Term, boot: str) -> tuple[str, ...]:
+    def _targets_to_hand_over(self, term: _Term, boot: str) -> tuple[str, ...]:
         target = term.hand_over_by_boot.get(boot)
         return (target,) if target is not None else ()
 
-    def _store(self, name: str) -> _turns.StoreQueue:
+    def _store_queue(self, name: str) -> _turns.StoreQueue:
         stores = self._current_term().store_by_name
         if name not in stores:
             stores[name] = _turns.StoreQueue(self._clock)
         return stores[name]
 
-    def _weights(self) -> dict[str, float]:
+    def _weight_by_member(self) -> dict[str, float]:
         members = self._machine.view.member_by_id
         return {name: entry.value.weight for name, entry in members.items()}
 
@@ -601,12 +613,12 @@
     async def _poll_instances(self) -> None:
         """Read the instance list periodically, and at once in a new term."""
         read_at = float("-inf")
-        read_in = -1
+        read_in_term = -1
         while True:
             due = self._clock.now() - read_at >= self._list_interval_s
             leads = self._node.holds_lease()
-            if leads and (due or read_in != self._node.term):
-                read_at, read_in = self._clock.now(), self._node.term
+            if leads and (due or read_in_term != self._node.term):
+                read_at, read_in_term = self._clock.now(), self._node.term
                 await observe.timed(
                     self._metrics,
                     "list",
@@ -621,14 +633,14 @@
             instances = await self._instances.read()
             term.fleet.update(instances, self._clock.now())
         finally:
-            self._publish_fleet(term)
+            self._publish_targets(term)
 
     def _record_restart(self, target: str, start_time_ms: int) -> None:
         """Record a restart that the target itself reported."""
         term = self._current_term()
-        start = term.fleet.record_restart(target, start_time_ms)
-        observe.log_event("list", "new_start", target=target, now=start)
-        self._publish_fleet(term)
+        incarnation = term.fleet.record_restart(target, start_time_ms)
+        observe.log_event("list", "new_start", target=target, now=incarnation)
+        self._publish_targets(term)
 
     async def _run_logged(
         self, work: collections.abc.Callable[[], collections.abc.Awaitable]
@@ -641,7 +653,7 @@
         except Exception:
             logging.exception("control: Background round failed.")
 
-    def _publish_fleet(self, term: _Term) -> None:
+    def _publish_targets(self, term: _Term) -> None:
         known = set()
         for instance, leaving in term.fleet.all():
             known.add(instance.id)
@@ -661,7 +673,7 @@
     async def _run_leader_round(self) -> None:
         term = self._current_term()
         self._end_sessions(term)
-        await self._update_share_notes(term)
+        await self._update_share_bounds(term)
         await term.quarantine.tend()
         if self._use_tracker is None:
             await self._assign_targets(term)
@@ -677,7 +689,7 @@
             raised = catalogue.RaiseFloor(floor_ms)
             await self._propose(catalogue.Command(raise_floor=raised))
 
-    async def _update_share_notes(self, term: _Term) -> None:
+    async def _update_share_bounds(self, term: _Term) -> None:
         """Free ended shares and update the bounds in the log."""
         now = self._clock.now()
         for boot, until in list(term.lapsed_until_by_boot.items()):
@@ -688,8 +700,8 @@
         kept = term.session_by_boot.keys() | term.lapsed_until_by_boot.keys()
         gone = self._machine.sharer_by_boot.keys() - kept
         if gone:
-            await term.notes.forget(gone)
-        await term.notes.lower(
+            await term.share_bounds.remove(gone)
+        await term.share_bounds.lower(
             [
                 (session.daemon, term.ledger.held(boot))
                 for boot, session in term.session_by_boot.items()
@@ -717,7 +729,7 @@
             return
         held_by_key = term.ledger.held(boot)
         term.ledger.lapse(boot, held_by_key)
-        self._set_lapsed(term, boot, session.runs_last_s)
+        self._set_lapse_end(term, boot, session.runs_last_s)
         observe.log_event(
             "shares",
             "lapsed",
@@ -841,7 +853,7 @@
     return targets.Instance(info.id, info.pool, info.address, info.datacentre)
 
 
-def _may_hold(request: _messages.Heartbeat) -> bool:
+def _may_be_held(request: _messages.Heartbeat) -> bool:
     """Whether a heartbeat may be held during an election.
 
     One that declares shares may not: when those were held too, limits of 40
--- a/libs/control/src/bergamotsail/control/_digest.py
+++ b/libs/control/src/bergamotsail/control/_digest.py
@@ -55,7 +55,11 @@
         self, changes: collections.abc.Iterable[tuple[int, str]], until: int
     ) -> tuple[Item, ...]:
         """Return the changed items up to a version."""
-        return tuple(self.by_id[one] for at, one in changes if at <= until)
+        return tuple(
+            self.by_id[item_id]
+            for version, item_id in changes
+            if version <= until
+        )
 
 
 def _changes_after(
@@ -64,15 +68,15 @@
     latest = itertools.takewhile(
         lambda item: item[1] > version, reversed(version_by_id.items())
     )
-    found = [(at, item_id) for item_id, at in latest]
-    found.reverse()
-    return found
+    changes = [(at, item_id) for item_id, at in latest]
+    changes.reverse()
+    return changes
 
 
 def _ids(
     changes: collections.abc.Iterable[tuple[int, str]], until: int
 ) -> tuple[str, ...]:
-    return tuple(one for at, one in changes if at <= until)
+    return tuple(item_id for version, item_id in changes if version <= until)
 
 
 class DigestLog:
@@ -125,7 +129,9 @@
         targets = self._targets.since(since)
         gone_daemons = self._daemons.gone_since(since)
         gone_targets = self._targets.gone_since(since)
-        until = self._until(daemons, targets, gone_daemons, gone_targets)
+        until = self._last_version_that_fits(
+            daemons, targets, gone_daemons, gone_targets
+        )
         return _messages.DigestDelta(
             self._term,
             until,
@@ -137,7 +143,7 @@
             until < self.version,
         )
 
-    def _until(self, *changes: list[tuple[int, str]]) -> int:
+    def _last_version_that_fits(self, *changes: list[tuple[int, str]]) -> int:
         """Return the version up to which the changes fit into one reply.
 
         No two changes have the same version.
--- a/libs/control/src/bergamotsail/control/_fleet.py
+++ b/libs/control/src/bergamotsail/control/_fleet.py
@@ -48,9 +48,9 @@
 
     def remember(self, instance: targets.Instance, leaving: bool) -> None:
         """Add a target, or replace what is known of it."""
-        start = targets.Incarnation.of(instance.id)
-        known = _TrackedTarget(instance, leaving, start.start_time_ms)
-        self._tracked_by_name[start.name] = known
+        incarnation = targets.Incarnation.of(instance.id)
+        known = _TrackedTarget(instance, leaving, incarnation.start_time_ms)
+        self._tracked_by_name[incarnation.name] = known
 
     def record_restart(self, target: str, start_time_ms: int) -> str:
         """Record a restart that a target reported itself.
@@ -99,9 +99,9 @@
             return
         listed = set()
         for instance in instances:
-            start = targets.Incarnation.of(instance.id)
-            listed.add(start.name)
-            self._apply_entry(start, instance)
+            incarnation = targets.Incarnation.of(instance.id)
+            listed.add(incarnation.name)
+            self._apply_entry(incarnation, instance)
         for name, known in list(self._tracked_by_name.items()):
             if name in listed:
                 continue
@@ -112,16 +112,16 @@
                 del self._tracked_by_name[name]
 
     def _apply_entry(
-        self, start: targets.Incarnation, instance: targets.Instance
+        self, incarnation: targets.Incarnation, instance: targets.Instance
     ) -> None:
         """Apply one entry of the instance list."""
         leaving = instance.state is targets.InstanceState.LEAVING
-        known = self._tracked_by_name.get(start.name)
+        known = self._tracked_by_name.get(incarnation.name)
         if known is None:
             self.remember(instance, leaving)
             return
         known.missing_since = None
-        listed_ms, known_ms = start.start_time_ms, known.start_time_ms
+        listed_ms, known_ms = incarnation.start_time_ms, known.start_time_ms
         if (
             listed_ms is not None
             and known_ms is not None
@@ -132,9 +132,9 @@
             instance = dataclasses.replace(instance, id=known.instance.id)
         start_time_ms = known_ms if listed_ms is None else listed_ms
         same = instance.id == known.instance.id
-        was_leaving = known.reported_leaving and same
-        self._tracked_by_name[start.name] = _TrackedTarget(
-            instance, leaving, start_time_ms, reported_leaving=was_leaving
+        still_leaving = known.reported_leaving and same
+        self._tracked_by_name[incarnation.name] = _TrackedTarget(
+            instance, leaving, start_time_ms, reported_leaving=still_leaving
         )
 
     def all(self) -> list[tuple[targets.Instance, bool]]:
@@ -148,8 +148,8 @@
 def _with_start_time(
     instance: targets.Instance, name: str, start_time_ms: int
 ) -> targets.Instance:
-    start = targets.Incarnation(name, start_time_ms)
-    return dataclasses.replace(instance, id=str(start))
+    incarnation = targets.Incarnation(name, start_time_ms)
+    return dataclasses.replace(instance, id=str(incarnation))
 
 
 def rendezvous(
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -259,8 +259,8 @@
 
     Example: 900 s after 3 crashes, 1,800 s after 4, a day at most.
     """
-    further = max(ends - quarantine.MAX_ENDS, 0)
-    return min(HOLD_S * 2.0**further, MAX_HOLD_S)
+    extra_ends = max(ends - quarantine.MAX_ENDS, 0)
+    return min(HOLD_S * 2.0**extra_ends, MAX_HOLD_S)
 
 
 def _event_name(value: catalogue.Quarantine | None) -> str:
--- a/libs/control/src/bergamotsail/control/_relay.py
+++ b/libs/control/src/bergamotsail/control/_relay.py
@@ -26,11 +26,11 @@
 
     def _handler(self, call: wire.Call):
         async def handle(request: object) -> object:
-            return await self._pass_on(call, request)
+            return await self._relay_call(call, request)
 
         return handle
 
-    async def _pass_on(self, call: wire.Call, request: object) -> object:
+    async def _relay_call(self, call: wire.Call, request: object) -> object:
         direct = not self._session.goes_through_neighbour
         if not (self._session.fresh() and direct):
             raise wire.LeaseLostError(
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -179,27 +179,27 @@
         call: wire.Call,
         request: object,
         timeout_s: float,
-        before_try: collections.abc.Callable[[], None] = _no_op,
+        before_attempt: collections.abc.Callable[[], None] = _no_op,
     ) -> object:
         """Call the leader; each replica is tried once.
 
         Args:
-            before_try: called right before the request is sent to one.
+            before_attempt: called right before the request is sent to one.
 
         Raises:
             PeerLostError: a reply was lost, so the call may have run.
             ServingError: the last error, when every replica failed.
         """
-        order = [self._leader]
-        order += [seed for seed in self._seeds if seed != self._leader]
+        queue = [self._leader]
+        queue += [seed for seed in self._seeds if seed != self._leader]
         tried: set[str] = set()
-        last: wire.ServingError | None = None
-        while order:
-            address = order.pop(0)
+        last_error: wire.ServingError | None = None
+        while queue:
+            address = queue.pop(0)
             if address in tried:
                 continue
             tried.add(address)
-            before_try()
+            before_attempt()
             try:
                 reply = await self._transport.call(
                     address, call, request, timeout_s
@@ -207,17 +207,17 @@
                 self.found(address)
                 return reply
             except wire.NotLeaderError as error:
-                last = error
+                last_error = error
                 if error.use is not None:
-                    order.insert(0, error.use)
+                    queue.insert(0, error.use)
             except (wire.NotSentError, wire.ReplicaFailedError) as error:
-                last = error
+                last_error = error
             except wire.PeerLostError as error:
                 # The leader is unknown now; the next call starts elsewhere.
-                self.found(order[0] if order else address)
+                self.found(queue[0] if queue else address)
                 raise error
-        assert last is not None
-        raise last
+        assert last_error is not None
+        raise last_error
 
     async def command(self, command: catalogue.Command) -> object:
         """Commit a command and return its typed result."""
@@ -412,9 +412,9 @@
         daemons = len(self.digest.daemon_by_boot)
         usual_s = self._timing.heartbeat_s
         if self.fresh():
-            spaced_s = daemons / MAX_HEARTBEATS_PER_S
-            most_s = self._timing.usable_s / HEARTBEATS_PER_LEASE
-            return max(usual_s, min(spaced_s, most_s))
+            rate_limited_s = daemons / MAX_HEARTBEATS_PER_S
+            max_s = self._timing.usable_s / HEARTBEATS_PER_LEASE
+            return max(usual_s, min(rate_limited_s, max_s))
         return max(usual_s / SEARCH_SPEEDUP, daemons / MAX_SEARCHES_PER_S)
 
     def _log_freshness(self) -> None:
@@ -636,7 +636,7 @@
 
     async def _fetch_state(self, address: str) -> None:
         known, after = self._own_view, self._own_view.index
-        fresh_view = catalogue.View()
+        new_view = catalogue.View()
         changes: list[catalogue.Effect] = []
         index, whole = 0, True
         pieces = self._transport.stream(
@@ -647,7 +647,7 @@
         )
         assembler = catalogue.EffectAssembler()
         monitored_stream = wire.monitored_stream(
-            pieces, _fetch_stalled, STATE_SILENCE_S
+            pieces, _make_stall_error, STATE_SILENCE_S
         )
         async with contextlib.aclosing(monitored_stream):
             async for piece in monitored_stream:
@@ -658,21 +658,21 @@
                     changes.extend(ready)
                     continue
                 for effect in ready:
-                    fresh_view.apply(effect)
+                    new_view.apply(effect)
         if self._own_view is not known or known.index != after:
             # A heartbeat has advanced the view meanwhile.
             return
         if index < after:
             return
         if whole:
-            self._own_view = fresh_view
+            self._own_view = new_view
         for effect in changes:
             self._own_view.apply(effect)
         self._own_view.index = index
         logging.info("session: State fetched at index %d.", index)
 
 
-def _fetch_stalled() -> wire.ServingError:
+def _make_stall_error() -> wire.ServingError:
     return wire.PeerLostError(
         "Timed out waiting for a piece of the state. Fetch it again."
     )
--- a/libs/control/src/bergamotsail/control/_share_notes.py
+++ b/libs/control/src/bergamotsail/control/_share_notes.py
@@ -27,7 +27,7 @@
 ]
 
 
-class ShareNotes:
+class ShareBounds:
     """Maintains the bounds of shares in the log during one term.
 
     Args:
@@ -59,7 +59,7 @@
         entries = [self._committed()[boot], *self._pending_by_boot[boot]]
         return min(entry.most_by_key.get(key, 0) for entry in entries)
 
-    async def cover(
+    async def ensure_covered(
         self,
         daemon: _messages.DaemonInfo,
         runs_last_s: float,
@@ -72,16 +72,20 @@
         """
         boot = daemon.boot
         known = self._committed().get(boot)
-        lasts = known is not None and known.runs_last_s >= runs_last_s
-        enough = all(
+        duration_covered = (
+            known is not None and known.runs_last_s >= runs_last_s
+        )
+        shares_covered = all(
             self.max_share(boot, key) >= held
             for key, held in held_by_key.items()
         )
-        if lasts and enough:
+        if duration_covered and shares_covered:
             return
         try:
             async with asyncio.timeout(COMMIT_TIMEOUT_S):
-                await self._note([_sharer(daemon, runs_last_s, held_by_key)])
+                await self._commit_bounds(
+                    [_sharer(daemon, runs_last_s, held_by_key)]
+                )
         except (wire.ServingError, TimeoutError) as error:
             logging.info(
                 "control: Shares of %s are not committed yet. %r", boot, error
@@ -106,27 +110,27 @@
                 sharer = _sharer(daemon, known.runs_last_s, held_by_key)
                 lowered.append(sharer)
         if lowered:
-            await self._note(lowered)
+            await self._commit_bounds(lowered)
 
-    async def forget(self, boots: set[str]) -> None:
+    async def remove(self, boots: set[str]) -> None:
         """Remove the bounds of daemons that hold nothing any more.
 
         A daemon that returns meanwhile is granted nothing until its bounds
         are committed again.
         """
-        note = catalogue.NoteSharers(gone=tuple(sorted(boots)))
+        change = catalogue.NoteSharers(gone=tuple(sorted(boots)))
         self._gone = boots
         try:
-            await self._propose(catalogue.Command(note_sharers=note))
+            await self._propose(catalogue.Command(note_sharers=change))
         finally:
             self._gone = set()
 
-    async def _note(self, sharers: list[catalogue.Sharer]) -> None:
+    async def _commit_bounds(self, sharers: list[catalogue.Sharer]) -> None:
         for sharer in sharers:
             self._pending_by_boot[sharer.boot].append(sharer)
-        note = catalogue.NoteSharers(sharers=tuple(sharers))
+        change = catalogue.NoteSharers(sharers=tuple(sharers))
         commit = asyncio.ensure_future(
-            self._propose(catalogue.Command(note_sharers=note))
+            self._propose(catalogue.Command(note_sharers=change))
         )
         commit.add_done_callback(
             lambda done: self._on_committed(sharers, done)
