--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -379,11 +379,15 @@
 
     leader = _quarantine.Quarantine(3, lambda: view, propose, wire.LoopClock())
     loop = asyncio.get_running_loop()
-    await leader.tend()
-    await leader.take("b1", [_observed("t1", 30.0, True)], loop.time())
+    await leader.maintain()
+    await leader.record_observations(
+        "b1", [_observed("t1", 30.0, True)], loop.time()
+    )
     faults = ["an earlier success released it"] if commands else []
     await asyncio.sleep(2.0)
-    await leader.take("b1", [_observed("t2", 1.0, True)], loop.time())
+    await leader.record_observations(
+        "b1", [_observed("t2", 1.0, True)], loop.time()
+    )
     if [command.put.value for command in commands] != [None]:
         faults.append(f"a later success gave commands {commands}")
     return faults
@@ -562,7 +566,7 @@
     (
         "hold for good",
         "runs_again_later",
-        (_quarantine.Quarantine, "tend", _do_nothing),
+        (_quarantine.Quarantine, "maintain", _do_nothing),
     ),
 )
 _original_pending = quarantine.Observations.pending
--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -216,7 +216,9 @@
             await term.share_bounds.ensure_covered(
                 daemon, request.runs_last_s, held_by_key
             )
-        await term.quarantine.take(daemon.boot, request.ends, arrived_at)
+        await term.quarantine.record_observations(
+            daemon.boot, request.ends, arrived_at
+        )
         if not self._node.holds_lease() or self._current_term() is not term:
             raise self._node.not_leader()
         term.digest.put_daemon(daemon)
@@ -674,7 +676,7 @@
         term = self._current_term()
         self._end_sessions(term)
         await self._update_share_bounds(term)
-        await term.quarantine.tend()
+        await term.quarantine.maintain()
         if self._use_tracker is None:
             await self._assign_targets(term)
         await self._raise_floor()
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -124,7 +124,7 @@
             del self._exclusive_by_identity[identity]
             exclusive.over.set()
 
-    async def take(
+    async def record_observations(
         self,
         boot: str,
         observations: collections.abc.Sequence[quarantine.Observation],
@@ -184,7 +184,7 @@
         key = (entry.id, entry.revision)
         return self._seen_at.get(key, self._clock.now())
 
-    async def tend(self) -> None:
+    async def maintain(self) -> None:
         """Release requests in time, evict old entries, retry failed writes."""
         now = self._clock.now()
         self._counter.forget_before(now - quarantine.KEPT_S)
