--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -914,15 +914,15 @@
 @contextlib.contextmanager
 def first_try_counts() -> collections.abc.Iterator[None]:
     """Start a lease at the first attempt of its heartbeat, not the last."""
-    original = control.Session._sending
+    original = control.Session._record_send_time
     noted: dict[str, int] = {}
 
-    def sending(self) -> None:
+    def record(self) -> None:
         if noted.get(self.boot) != self._sequence:
             noted[self.boot] = self._sequence
             original(self)
 
-    with patch(control.Session, "_sending", sending):
+    with patch(control.Session, "_record_send_time", record):
         yield
 
 
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -514,7 +514,7 @@
                 _messages.HEARTBEAT,
                 request,
                 self._timing.call_s,
-                self._sending,
+                self._record_send_time,
             )
             self.leader.set_neighbour(None)
             return reply
@@ -526,7 +526,7 @@
                 raise
             return reply
 
-    def _sending(self) -> None:
+    def _record_send_time(self) -> None:
         """Record the send time of this attempt.
 
         A lease counts from the attempt that was answered. Replicas hold
@@ -547,7 +547,7 @@
             direct = (self.leader.direct_address, self._timing.call_s / 2)
             calls.insert(0, direct)
         for address, timeout_s in calls:
-            self._sending()
+            self._record_send_time()
             with contextlib.suppress(wire.ServingError):
                 reply = await self._transport.call(
                     address, _messages.HEARTBEAT, request, timeout_s
@@ -571,7 +571,7 @@
         start = self._neighbours_tried * MAX_NEIGHBOUR_ATTEMPTS
         for number in range(min(MAX_NEIGHBOUR_ATTEMPTS, len(neighbours))):
             address = neighbours[(start + number) % len(neighbours)]
-            self._sending()
+            self._record_send_time()
             with contextlib.suppress(wire.ServingError):
                 reply = await self._transport.call(
                     address,
