--- a/features/support/fatal_world.py
+++ b/features/support/fatal_world.py
@@ -202,7 +202,7 @@
         info = control.DaemonInfo(
             address, f"{address}#{start}", address, datacentre
         )
-        leader = control.Leader(transport, world.addresses[:3])
+        leader = control.LeaderClient(transport, world.addresses[:3])
         self.session = control.Session(info, leader, transport, LEASE)
         self.session.attach(self)
         self.placements = unittest.mock.Mock()
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -99,7 +99,7 @@
             datacentre,
             peer_address=self.address,
         )
-        leader = control.Leader(transport, fleet.addresses[:3])
+        leader = control.LeaderClient(transport, fleet.addresses[:3])
         self.session = control.Session(info, leader, transport, LEASE)
         relay = control.Relay(self.session, transport)
         relay.serve(
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -593,7 +593,7 @@
     info = control.DaemonInfo(
         address, f"{address}#1", address, "mnl-a", peer_address=address
     )
-    leader = control.Leader(transport, replicas.addresses)
+    leader = control.LeaderClient(transport, replicas.addresses)
     session = control.Session(info, leader, transport, lease)
     session.attach(control.PassiveParticipant())
     relay = control.Relay(session, transport)
--- a/libs/control/src/bergamotsail/control/__init__.py
+++ b/libs/control/src/bergamotsail/control/__init__.py
@@ -52,7 +52,7 @@
 
 HEARTBEAT = _messages.HEARTBEAT
 Relay = _relay.Relay
-Leader = _session.Leader
+LeaderClient = _session.LeaderClient
 Session = _session.Session
 PassiveParticipant = _session.PassiveParticipant
 Participant = _session.Participant
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -113,7 +113,7 @@
     return None
 
 
-class Leader:
+class LeaderClient:
     """Client of the leader; finds it through any replica.
 
     Args:
@@ -245,7 +245,7 @@
     def __init__(
         self,
         daemon: _messages.DaemonInfo,
-        leader: Leader,
+        leader: LeaderClient,
         transport: wire.PeerTransport,
         timing: _messages.LeaseTiming,
         node: quorum.Node | None = None,
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -156,7 +156,9 @@
     def _make_entry(self, lease: control.LeaseTiming) -> None:
         settings = self.settings
         dependencies = self._dependencies
-        self.leader = control.Leader(dependencies.transport, settings.replicas)
+        self.leader = control.LeaderClient(
+            dependencies.transport, settings.replicas
+        )
         boot = (
             f"{settings.name}#"
             f"{uuid.UUID(int=dependencies.rng.getrandbits(128))}"
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -422,7 +422,7 @@
         self.peer_endpoint = _peer_endpoint.PeerEndpoint(
             self.server, settings.peer_token, self.lag, self.metrics
         )
-        self.leader = control.Leader(transport, settings.seeds)
+        self.leader = control.LeaderClient(transport, settings.seeds)
         self.process_monitor = _vitals.ProcessMonitor(
             self.lag, self.metrics, clock, role="entry"
         )
