--- a/libs/control/src/bergamotsail/control/_target_notices.py
+++ b/libs/control/src/bergamotsail/control/_target_notices.py
@@ -67,9 +67,11 @@
 
     def takes_work(self, info: _messages.TargetInfo, now: float) -> bool:
         """Whether new work may be sent to a target now."""
-        return not self.is_gone(info) and not self.pause_left_s(info.id, now)
+        return not self.is_marked_leaving(info) and not self.pause_left_s(
+            info.id, now
+        )
 
-    def is_gone(self, info: _messages.TargetInfo) -> bool:
+    def is_marked_leaving(self, info: _messages.TargetInfo) -> bool:
         """Whether a target is leaving, by the digest or its own notice."""
         return info.leaving or info.id in self._leaving
 
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -162,7 +162,7 @@
         """
         tracked.ends += 1
         info = self._session.digest.target_by_id.get(target)
-        if info is None or not self._session.notices.is_gone(info):
+        if info is None or not self._session.notices.is_marked_leaving(info):
             self._note(tracked, start or target, quarantine.RunEnd.LOST)
 
     def served(self, tracked: TrackedRequest, target: str) -> None:
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -369,7 +369,8 @@
         return [
             notices.pause_left_s(info.id, now)
             for info in self._session.digest.target_by_id.values()
-            if info.pool == attempt.pool.name and not notices.is_gone(info)
+            if info.pool == attempt.pool.name
+            and not notices.is_marked_leaving(info)
         ]
 
     def _all_paused(self, attempt: _Attempt) -> bool:
