--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -34,15 +34,15 @@
 # them in 0.5 s; daemons wait at least 0.6 s for a reply.
 MAX_EFFECT_BYTES = 65_536
 MAX_EFFECTS_PER_PIECE = 500
-# Bytes in one piece of a route table: a 1 Mbit/s link transfers it well within
-# the second without a piece after which a fetch is aborted.
+# Bytes of one part of a large effect, such as a route table. A 1 Mbit/s link
+# transfers it in 0.3 s; a fetch is aborted after 1 s without a piece.
 MAX_PIECE_BYTES = 32_768
 RELAY_TIMEOUT_S = 2.0
 LEADER_ROUND_INTERVAL_S = 0.25
 LEAD_POLL_S = 0.05
 MILLI = 1000
-# Longest that a heartbeat is held while there is no leader. Daemons wait 0.6 s
-# for a reply, and an election takes 0.5 to 0.9 s.
+# Longest time that a heartbeat is held while there is no leader. Daemons wait
+# 0.6 s for a reply, and an election takes 0.5 to 0.9 s.
 HEARTBEAT_HOLD_S = 0.45
 HEARTBEAT_HOLD_POLL_S = 0.02
 
@@ -203,7 +203,8 @@
         )
         if request.sequence <= session.sequence:
             raise wire.ConflictError(
-                "This heartbeat is older than one already answered."
+                f"Heartbeat {request.sequence} of {daemon.boot} is not newer "
+                f"than heartbeat {session.sequence}, which has arrived."
             )
         session.sequence = request.sequence
         session.seen_at = self._clock.now()
@@ -388,7 +389,7 @@
     # Parts of a heartbeat.
 
     def _current_term(self) -> _Term:
-        """Return the soft state of the present term; reset on a new term."""
+        """Return the soft state of the current term; initialise a new one."""
         if self._term.term != self._node.term:
             self._term = self._new_term(self._node.term, self._clock.now())
             self._initialise_term(self._term)
@@ -436,8 +437,8 @@
 
         Either earlier leaders' leases have expired, or all daemons that may
         hold shares from them have declared what they hold. With the first
-        condition alone, callers were refused when leadership moved every
-        2.5 s.
+        condition alone, no share could grow while leadership moves as often
+        as every 2.5 s, and callers would be refused.
         """
         return self._earlier_leases_expired(term) or not term.undeclared
 
@@ -533,7 +534,7 @@
     def _record_leaving(
         self, term: _Term, request: _messages.Heartbeat
     ) -> None:
-        """Mark targets as leaving that reported so to a daemon."""
+        """Mark targets as leaving that reported it to a daemon."""
         new = [
             target
             for target in request.leaving
@@ -745,7 +746,7 @@
                 self._free_former_boots(term, other.daemon)
 
     async def _assign_targets(self, term: _Term) -> None:
-        """Grant each unowned engine to a daemon, then rebalance by one."""
+        """Grant each unowned engine to a daemon, then select a hand-over."""
         view = self._machine.view
         owned_by_boot: dict[str, list[str]] = collections.defaultdict(list)
         unowned = []
@@ -784,7 +785,7 @@
         )
 
     def _live_owner(self, term: _Term, target: str) -> str | None:
-        """Return the owner, None if it released the target or is gone.
+        """Return the owner; None if it released the target or is gone.
 
         An owner without a session counts until earlier leases have expired.
         """
@@ -802,7 +803,11 @@
         candidates: list[_messages.DaemonInfo],
         owned_by_boot: dict[str, list[str]],
     ) -> None:
-        """Select one target to hand over from the daemon that has most."""
+        """Select at most one target to hand over, to even out ownership.
+
+        The daemon with the most targets hands it over if another daemon has
+        at least two fewer.
+        """
         term.hand_over_by_boot.clear()
         if not candidates or not self._earlier_leases_expired(term):
             return
@@ -858,9 +863,8 @@
 def _may_be_held(request: _messages.Heartbeat) -> bool:
     """Whether a heartbeat may be held during an election.
 
-    One that declares shares may not: when those were held too, limits of 40
-    were exceeded by up to 6 while an owner was partitioned, in the runs with
-    seeds 1 and 2 of 5.
+    One that declares shares may not: holding it let limits of 40 be exceeded
+    by up to 6 while an owner was partitioned.
     """
     return not request.held_by_key and not request.wanted_by_key
 
--- a/libs/control/src/bergamotsail/control/_digest.py
+++ b/libs/control/src/bergamotsail/control/_digest.py
@@ -11,7 +11,7 @@
 Item = typing.TypeVar("Item")
 # Changes in one reply, about 60 kB: a 1 Mbit/s link transfers them in the
 # 0.6 s that a daemon waits for it. All of 3,000 targets in one reply take that
-# long on a 5 Mbit/s link, so no reply of a new leader arrived in time.
+# long on a 5 Mbit/s link, so no reply of a new leader would arrive in time.
 MOST_CHANGES = 400
 
 
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -185,7 +185,7 @@
         return self._seen_at.get(key, self._clock.now())
 
     async def maintain(self) -> None:
-        """Release requests in time, evict old entries, retry failed writes."""
+        """Release due requests, evict excess entries, retry failed commits."""
         now = self._clock.now()
         self._counter.forget_before(now - quarantine.KEPT_S)
         entries = self._view().quarantine_by_id
@@ -255,7 +255,7 @@
 
 
 def hold_s(ends: int) -> float:
-    """Return the quarantine of a request that crashed so many targets.
+    """Return the quarantine in seconds after *ends* crashed targets.
 
     Example: 900 s after 3 crashes, 1,800 s after 4, a day at most.
     """
--- a/libs/control/src/bergamotsail/control/_relay.py
+++ b/libs/control/src/bergamotsail/control/_relay.py
@@ -9,7 +9,7 @@
 class Relay:
     """Relays calls to the leader while this daemon's session is fresh.
 
-    Only then its own connection to the leader is known to work. A daemon
+    Only then is its own connection to the leader known to work. A daemon
     that itself uses a relay refuses, so there is at most one hop.
     """
 
@@ -34,7 +34,8 @@
         direct = not self._session.goes_through_neighbour
         if not (self._session.fresh() and direct):
             raise wire.LeaseLostError(
-                "This instance can't reach the leader directly either.",
+                "This instance can't reach the leader directly, so it can't "
+                "relay the call.",
                 retry_after_s=1.0,
             )
         patience_s = getattr(request, "patience_s", 0.0)
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -32,8 +32,8 @@
 # load on the leader, where a placement call takes 0.4 ms. With 80 daemons each
 # sends one every 0.53 s.
 MAX_HEARTBEATS_PER_S = 150.0
-# Heartbeats per lease, however many daemons there are: a lease survives the
-# loss of two.
+# Heartbeats per lease, however many daemons there are: after a refused one,
+# the next is still sent before the lease expires.
 HEARTBEATS_PER_LEASE = 3
 # The bound while daemons search for a leader; most of these heartbeats are
 # refused cheaply.
@@ -66,7 +66,7 @@
     def declare_run_bound(self) -> float:
         """Return an upper bound for the time admitted work runs, in seconds.
 
-        It binds also what is admitted later, until :meth:`confirm_run_bound`
+        It also binds what is admitted later, until :meth:`confirm_run_bound`
         confirms that the leader knows of a higher bound.
         """
         return 0.0
@@ -154,7 +154,10 @@
     def set_neighbour(self, neighbour: str | None) -> None:
         """Relay calls through another daemon, or None to call directly."""
         if neighbour != self._neighbour:
-            logging.info("session: Leader is called via %s.", neighbour)
+            logging.info(
+                "session: Calls to the leader now go %s.",
+                f"via {neighbour}" if neighbour else "to it directly",
+            )
             self._neighbour = neighbour
             self._notify_moved()
 
@@ -184,7 +187,7 @@
         """Call the leader; each replica is tried once.
 
         Args:
-            before_attempt: called right before the request is sent to one.
+            before_attempt: called right before each attempt.
 
         Raises:
             PeerLostError: a reply was lost, so the call may have run.
@@ -465,18 +468,18 @@
         self._participant.view_changed()
 
     def _log_renewal(self, sent_at: float, answered_at: float) -> None:
-        """Log a first lease, or one that expired before its renewal."""
+        """Log a first lease, or the renewal of one that has expired."""
         if self.fresh():
             return
         now = self._clock.now()
         gap_s = now - self._lease_until
         logging.info(
             "session: Lease granted. left_s=%.3f answer_s=%.3f "
-            "catch_up_s=%.3f without=%s",
+            "catch_up_s=%.3f gap_s=%s",
             sent_at + self._timing.usable_s - now,
             answered_at - sent_at,
             now - answered_at,
-            "ever" if math.isinf(gap_s) else f"{gap_s:.3f} s",
+            "none" if math.isinf(gap_s) else f"{gap_s:.3f}",
         )
 
     def _renew(self, sent_at: float) -> None:
@@ -488,8 +491,8 @@
 
         A new leader knows few daemons at first, so those known to earlier
         leaders are kept for the duration of a lease, also over several
-        leaders in a row. Dropping them at the second one left 3 of 30
-        daemons, and callers were told only those addresses.
+        leaders in a row. Otherwise, after two changes of the leader in quick
+        succession, callers might be told only 3 of 30 addresses.
         """
         if delta.full:
             self._previous_by_boot = dict(self.daemon_by_boot)
@@ -530,15 +533,15 @@
         """Record the send time of this attempt.
 
         A lease counts from the attempt that was answered. Replicas hold
-        heartbeats during an election; counted from the first of three
-        attempts, a first lease had already expired when it arrived.
+        heartbeats during an election, so a lease that counted from the first
+        of three attempts could have expired before the reply arrives.
         """
         self._sent_at = self._clock.now()
 
     async def _send_via_neighbour(
         self, request: _messages.Heartbeat, neighbour: str
     ) -> _messages.HeartbeatReply | None:
-        """Send through the same neighbour; periodically try directly."""
+        """Send through the neighbour; periodically try the leader first."""
         request = dataclasses.replace(request, fetches=False)
         calls = [(neighbour, self._timing.call_s)]
         if self._clock.now() - self._direct_tried_at > DIRECT_RETRY_INTERVAL_S:
@@ -560,7 +563,7 @@
     async def _send_via_any_neighbour(
         self, request: _messages.Heartbeat
     ) -> _messages.HeartbeatReply | None:
-        """Try some neighbours, other ones each time."""
+        """Send through one of a few neighbours, different ones each time."""
         request = dataclasses.replace(request, fetches=False)
         neighbours = [
             info.peer_address
@@ -588,8 +591,8 @@
         """Bring the view up to the commit index of the reply.
 
         Returns:
-            False when that needs a fetch. It runs in the background: the
-            session continues, the lease is renewed when it is done.
+            False when that needs a fetch. It runs in the background; the
+            session continues, and the lease is renewed once it is done.
         """
         if self._node is not None:
             deadline = self._clock.now() + CALL_TIMEOUT_S
--- a/libs/control/src/bergamotsail/control/_share_notes.py
+++ b/libs/control/src/bergamotsail/control/_share_notes.py
@@ -16,8 +16,8 @@
 from bergamotsail.control import _messages
 from bergamotsail import wire
 
-# Longest that a heartbeat waits for its shares to be committed; after that
-# a later heartbeat gets them.
+# Longest time that a heartbeat waits for its shares to be committed; after
+# that a later heartbeat gets them.
 COMMIT_TIMEOUT_S = 0.2
 # A bound is lowered once the daemon holds a quarter of it or less.
 LOWER_FACTOR = 4
@@ -157,6 +157,7 @@
     runs_last_s: float,
     held_by_key: collections.abc.Mapping[str, int],
 ) -> catalogue.Sharer:
+    """Return bounds of these shares, rounded up to powers of two."""
     most_by_key = {
         key: 1 << (held - 1).bit_length()
         for key, held in held_by_key.items()
