--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -26,11 +26,11 @@
 from bergamotsail.quorum import _storage
 from bergamotsail import wire
 
-MAX_BATCH = 256
-SNAPSHOT_LINES = 500
+MAX_ENTRIES_PER_APPEND = 256
+LINES_PER_PIECE = 500
 JOIN_INTERVAL_S = 0.5
 CONFIRM_POLL_S = 0.005
-VOTER_TIMEOUT_S = 2.0
+UNRESPONSIVE_AFTER_S = 2.0
 MAX_REDIRECTS = 2
 # How long forming the log waits for seeds that are still reading their disks.
 FORM_WAIT_S = 5.0
@@ -188,12 +188,12 @@
         self._incoming_lines = 0
         self._lock = asyncio.Lock()
         self._flush_wanted = asyncio.Event()
-        self._commit_moved = asyncio.Event()
+        self._commit_raised = asyncio.Event()
         self._election_requested = asyncio.Event()
         self._waiter_by_index: dict[int, _Waiter] = {}
-        self._next_by_peer: dict[str, int] = {}
-        self._match_by_peer: dict[str, int] = {}
-        self._acked_by_peer: dict[str, float] = {}
+        self._next_index_by_peer: dict[str, int] = {}
+        self._match_index_by_peer: dict[str, int] = {}
+        self._acked_at_by_peer: dict[str, float] = {}
         self._wake_by_peer: dict[str, asyncio.Event] = {}
         self._replicator_by_peer: dict[str, asyncio.Task] = {}
         self._join_tasks: dict[str, asyncio.Task] = {}
@@ -357,12 +357,14 @@
                 f"Replica {self.name} has failed. Ask another replica.",
                 retry_after_s=1.0,
             )
-        known = self.leader is not None and self.leader.id != self._me.id
-        known = known and self.has_leader_contact
+        can_redirect = (
+            self.leader is not None and self.leader.id != self._me.id
+        )
+        can_redirect = can_redirect and self.has_leader_contact
         return wire.NotLeaderError(
             f"Replica {self.name} is not the leader. Ask the leader.",
             retry_after_s=self._timing.election_s,
-            use=self.leader.address if known else None,
+            use=self.leader.address if can_redirect else None,
         )
 
     async def confirm_leadership(self, timeout_s: float) -> None:
@@ -396,13 +398,14 @@
         self._transferring = True
         try:
             successor = max(
-                others, key=lambda m: self._match_by_peer.get(m.id, 0)
+                others, key=lambda m: self._match_index_by_peer.get(m.id, 0)
             )
             deadline = self._clock.now() + self._timing.election_s
             while (
                 self.role is Role.LEADER
                 and self._clock.now() < deadline
-                and self._match_by_peer.get(successor.id, 0) < self.last_index
+                and self._match_index_by_peer.get(successor.id, 0)
+                < self.last_index
             ):
                 await self._clock.sleep(self._timing.heartbeat_s / 10)
             request = _messages.LeadRequest(successor.id, self.term)
@@ -463,7 +466,7 @@
 
     async def on_form(self, request: _messages.FormRequest) -> _messages.Empty:
         """Store the first configuration of a blank replica."""
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         async with self._lock:
             if self.last_index > 0:
                 raise wire.ConflictError("This replica already has a log.")
@@ -480,7 +483,7 @@
 
         A granted pre-vote is not stored.
         """
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         async with self._lock:
             self._check_not_failed()
             why = self._refusal_reason(request)
@@ -501,7 +504,7 @@
         self, request: _messages.AppendRequest
     ) -> _messages.AppendReply:
         """Append entries from the leader; they are synced before the reply."""
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         async with self._lock:
             self._check_not_failed()
             if not await self._accept_leader(request.term, request.leader):
@@ -512,7 +515,7 @@
             await self._flush_locked()
             self._last_contact_at = self._clock.now()
             last = request.prev_index + len(request.entries)
-            self._move_commit(min(request.commit, last))
+            self._raise_commit(min(request.commit, last))
             await self._steps.reach(wire.Step.ACK, wire.Phase.BEFORE)
             return _messages.AppendReply(self.term, True, last)
 
@@ -520,7 +523,7 @@
         self, piece: _messages.SnapshotPiece
     ) -> _messages.AppendReply:
         """Store a piece of a snapshot; install it after the last piece."""
-        self._check_to(piece.to)
+        self._check_recipient(piece.to)
         async with self._lock:
             self._check_not_failed()
             if not await self._accept_leader(piece.term, piece.leader):
@@ -543,7 +546,7 @@
 
     async def on_lead(self, request: _messages.LeadRequest) -> _messages.Empty:
         """Start an election at once, as the leader transfers leadership."""
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         if request.term == self.term:
             self._transfer_term = request.term
             self._election_requested.set()
@@ -573,7 +576,7 @@
                 retry_after_s=self._timing.heartbeat_s,
             )
 
-    def _check_to(self, to: str) -> None:
+    def _check_recipient(self, to: str) -> None:
         self._check_loaded()
         if to != self._me.id:
             raise wire.NotFoundError(
@@ -903,9 +906,9 @@
         )
         self._emit_role_change("leads", "")
         self._transferring = False
-        self._next_by_peer.clear()
-        self._match_by_peer.clear()
-        self._acked_by_peer = {m.id: asked_at for m in self.config.members}
+        self._next_index_by_peer.clear()
+        self._match_index_by_peer.clear()
+        self._acked_at_by_peer = {m.id: asked_at for m in self.config.members}
         self._ready_index = self._append_local(_messages.EntryKind.NOOP, b"")
         self._start_replicators()
 
@@ -936,9 +939,9 @@
         """
         now = self._clock.now()
         return {
-            peer.name: round(now - self._acked_by_peer[peer.id], 3)
+            peer.name: round(now - self._acked_at_by_peer[peer.id], 3)
             for peer in self.config.members
-            if peer.id in self._acked_by_peer and peer != self._me
+            if peer.id in self._acked_at_by_peer and peer != self._me
         }
 
     def _emit_election_result(
@@ -1121,7 +1124,7 @@
         for peer in self.config.members:
             if peer.id == self._me.id or peer.id in self._replicator_by_peer:
                 continue
-            self._acked_by_peer.setdefault(peer.id, self._clock.now())
+            self._acked_at_by_peer.setdefault(peer.id, self._clock.now())
             self._wake_by_peer[peer.id] = asyncio.Event()
             self._replicator_by_peer[peer.id] = asyncio.create_task(
                 self._replicate(peer, self.term)
@@ -1134,7 +1137,7 @@
         self._wake_by_peer.clear()
 
     async def _replicate(self, peer: Member, term: int) -> None:
-        self._next_by_peer[peer.id] = self.last_index + 1
+        self._next_index_by_peer[peer.id] = self.last_index + 1
         wake = self._wake_by_peer[peer.id]
         while self.role is Role.LEADER and self.term == term:
             if peer not in self.config.members:
@@ -1150,11 +1153,11 @@
 
     async def _send_next(self, peer: Member) -> bool:
         """Send the next entries or a snapshot; True when there is more."""
-        next_index = self._next_by_peer[peer.id]
+        next_index = self._next_index_by_peer[peer.id]
         if next_index <= self._log.snapshot.index:
             await self._send_snapshot(peer)
             return True
-        last = min(self.last_index, next_index + MAX_BATCH - 1)
+        last = min(self.last_index, next_index + MAX_ENTRIES_PER_APPEND - 1)
         entries = self._log.entries_between(next_index, last)
         request = _messages.AppendRequest(
             peer.id,
@@ -1167,16 +1170,18 @@
         )
         sent_at = self._clock.now()
         reply = await self._call(peer, _messages.APPEND, request)
-        if not await self._still_leading(reply, request.term):
+        if not await self._leads_after_reply(reply, request.term):
             return False
-        self._acked_by_peer[peer.id] = sent_at
+        self._acked_at_by_peer[peer.id] = sent_at
         if not reply.success:
             retry_index = min(next_index - 1, reply.last_index + 1)
-            self._next_by_peer[peer.id] = max(retry_index, 1)
+            self._next_index_by_peer[peer.id] = max(retry_index, 1)
             return True
-        match = max(self._match_by_peer.get(peer.id, 0), reply.last_index)
-        self._match_by_peer[peer.id] = match
-        self._next_by_peer[peer.id] = match + 1
+        match = max(
+            self._match_index_by_peer.get(peer.id, 0), reply.last_index
+        )
+        self._match_index_by_peer[peer.id] = match
+        self._next_index_by_peer[peer.id] = match + 1
         await self._steps.reach(wire.Step.ACK, wire.Phase.AFTER)
         self._advance_commit()
         return match < self.last_index
@@ -1186,7 +1191,7 @@
         assert stored is not None
         meta, lines = stored
         term = self.term
-        starts = range(0, max(len(lines), 1), SNAPSHOT_LINES)
+        starts = range(0, max(len(lines), 1), LINES_PER_PIECE)
         for number, start in enumerate(starts):
             piece = _messages.SnapshotPiece(
                 peer.id,
@@ -1194,22 +1199,22 @@
                 self._me,
                 meta,
                 number,
-                tuple(lines[start : start + SNAPSHOT_LINES]),
-                start + SNAPSHOT_LINES >= len(lines),
+                tuple(lines[start : start + LINES_PER_PIECE]),
+                start + LINES_PER_PIECE >= len(lines),
             )
             sent_at = self._clock.now()
             reply = await self._call(peer, _messages.SNAPSHOT, piece)
-            if not await self._still_leading(reply, term):
+            if not await self._leads_after_reply(reply, term):
                 return
-            self._acked_by_peer[peer.id] = sent_at
+            self._acked_at_by_peer[peer.id] = sent_at
             if not reply.success:
                 raise wire.PeerLostError(
                     f"{peer.name} refused piece {number} of the snapshot; "
                     "it must be sent again from the start."
                 )
-        self._next_by_peer[peer.id] = meta.index + 1
+        self._next_index_by_peer[peer.id] = meta.index + 1
 
-    async def _still_leading(
+    async def _leads_after_reply(
         self, reply: _messages.AppendReply, term: int
     ) -> bool:
         if reply.term > self.term:
@@ -1223,7 +1228,11 @@
         """
         now = self._clock.now()
         times = [
-            now if m.id == self._me.id else self._acked_by_peer.get(m.id, 0.0)
+            (
+                now
+                if m.id == self._me.id
+                else self._acked_at_by_peer.get(m.id, 0.0)
+            )
             for m in self.config.voters
         ]
         if not times:
@@ -1238,19 +1247,19 @@
             (
                 self._synced_index
                 if m.id == self._me.id
-                else self._match_by_peer.get(m.id, 0)
+                else self._match_index_by_peer.get(m.id, 0)
             )
             for m in self.config.voters
         ]
         matches.sort(reverse=True)
         index = matches[self.config.majority - 1]
         if index > self.commit and self._log.term_at(index) == self.term:
-            self._move_commit(index)
+            self._raise_commit(index)
 
-    def _move_commit(self, index: int) -> None:
+    def _raise_commit(self, index: int) -> None:
         if index > self.commit:
             self.commit = index
-            self._commit_moved.set()
+            self._commit_raised.set()
 
     def _append_reply(self, success: bool) -> _messages.AppendReply:
         return _messages.AppendReply(self.term, success, self.last_index)
@@ -1259,8 +1268,8 @@
 
     async def _apply(self) -> None:
         while True:
-            await self._commit_moved.wait()
-            self._commit_moved.clear()
+            await self._commit_raised.wait()
+            self._commit_raised.clear()
             while self.applied < self.commit:
                 await self._steps.reach(wire.Step.APPLY, wire.Phase.BEFORE)
                 if self.applied < self.commit:
@@ -1429,8 +1438,10 @@
         return True
 
     def _is_unresponsive(self, member: Member) -> bool:
-        silent_s = self._clock.now() - self._acked_by_peer.get(member.id, 0.0)
-        return member.id != self._me.id and silent_s > VOTER_TIMEOUT_S
+        silent_s = self._clock.now() - self._acked_at_by_peer.get(
+            member.id, 0.0
+        )
+        return member.id != self._me.id and silent_s > UNRESPONSIVE_AFTER_S
 
     def _silent_voter(self) -> Member | None:
         silent = filter(self._is_unresponsive, self.config.voters)
@@ -1461,7 +1472,7 @@
                 disk again, and the replica that replaces it can't be added
                 while this wait lasts.
         """
-        while self._match_by_peer.get(member.id, 0) < self.commit:
+        while self._match_index_by_peer.get(member.id, 0) < self.commit:
             if not self.is_leader:
                 raise self.not_leader()
             if self._is_unresponsive(member):
