--- a/libs/control/src/bergamotsail/control/_target_notices.py
+++ b/libs/control/src/bergamotsail/control/_target_notices.py
@@ -76,7 +76,7 @@
         return info.leaving or info.id in self._leaving
 
     def paused(self, longer_than_s: float, now: float) -> tuple[str, ...]:
-        """Return targets whose pause continues for *longer_than_s*."""
+        """Return targets paused for longer than *longer_than_s* from now."""
         return tuple(
             target
             for target in list(self._paused_until)
--- a/libs/quorum/src/bergamotsail/quorum/__init__.py
+++ b/libs/quorum/src/bergamotsail/quorum/__init__.py
@@ -1,9 +1,9 @@
 """A Raft log with durable votes, snapshots and membership changes.
 
 Commands are opaque to the node, which applies them to a :class:`Machine` once
-they are committed. The variant has pre-vote, check-quorum, a leader lease,
-single-server membership changes through a learner stage, and a sync to disk
-before every vote and acknowledgement.
+they are committed. This variant of Raft has pre-vote, check-quorum, a leader
+lease, single-server membership changes through a learner stage, and a sync to
+disk before every vote and acknowledgement.
 """
 
 from bergamotsail.quorum import _disk
--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -30,6 +30,7 @@
 LINES_PER_PIECE = 500
 JOIN_INTERVAL_S = 0.5
 CONFIRM_POLL_S = 0.005
+# Time without an answered call after which a replica counts as unresponsive.
 UNRESPONSIVE_AFTER_S = 2.0
 MAX_REDIRECTS = 2
 # How long forming the log waits for seeds that are still reading their disks.
@@ -129,9 +130,9 @@
             an operator, once all seeds answer and are blank. True at the
             very first start only.
         max_voters: at this number of voters a further replica stays a
-            learner until a voter stops answering, or until some domain has
-            at least two voters more than the replica's own domain; it then
-            replaces that voter.
+            learner until it can replace a voter that has stopped answering,
+            or one of a domain with at least two voters more than the
+            replica's own domain.
         domain: failure domain of this replica.
         started_at: when this process started, on the clock; the time of
             loading when None.
@@ -182,8 +183,10 @@
         self._transfer_term = -1
         self._pre_vote_for: str | None = None
         self._pre_vote_until = 0.0
+        # Index of the first entry of the own term as leader, 0 otherwise.
         self._ready_index = 0
         self._transferring = False
+        # The snapshot being received, and the number of its next piece.
         self._incoming: tuple[_messages.SnapshotMeta, int] | None = None
         self._incoming_lines = 0
         self._lock = asyncio.Lock()
@@ -616,7 +619,7 @@
             return "log behind"
         if request.pre:
             reserved = self._reserve_pre_vote(request.candidate)
-            return "" if reserved else "another's turn"
+            return "" if reserved else "pre-vote of another candidate"
         vote_available = self._vote.voted_for in (None, request.candidate)
         return "" if request.term > self.term or vote_available else "voted"
 
@@ -1113,7 +1116,10 @@
         self._synced_index = last
 
     def _fail(self, error: BaseException) -> None:
-        """Fail for good: after a failed sync the disk content is unknown."""
+        """Mark this replica as failed until it is restarted.
+
+        After a failed sync, for example, the content of the disk is unknown.
+        """
         self.error = error
         self._become_follower(None, "replica failed")
         self.role = Role.FAILED
@@ -1217,6 +1223,10 @@
     async def _leads_after_reply(
         self, reply: _messages.AppendReply, term: int
     ) -> bool:
+        """Whether this replica still leads in *term*.
+
+        A higher term in the reply is adopted, which ends the leadership.
+        """
         if reply.term > self.term:
             await self._run_to_completion(self._learn_term, reply.term)
         return self.role is Role.LEADER and self.term == term
@@ -1241,6 +1251,11 @@
         return times[self.config.majority - 1]
 
     def _advance_commit(self) -> None:
+        """Commit the entries that a majority of the voters has synced.
+
+        Entries of earlier terms are committed only together with one of the
+        current term, since another leader could still overwrite them.
+        """
         if self.role is not Role.LEADER:
             return
         matches = [
@@ -1320,7 +1335,7 @@
     # Membership.
 
     async def _join(self) -> None:
-        """Ask to join while this replica is not a voter."""
+        """Ask to join while this replica is not known to be a voter."""
         while True:
             if self._forms and not self.config.voters:
                 await self._form_if_first_seed()
@@ -1372,7 +1387,7 @@
     async def _add_replica(self, member: Member) -> None:
         """Add a replica as a learner, then as a voter once it caught up.
 
-        It replaces a voter of the same name in one step. That is safe
+        A voter of the same name is replaced in one step. That is safe
         because the earlier replica lost its disk, so it can never vote or
         acknowledge again, and because the new one already has every
         committed entry. Adding the new voter first would need three of four
@@ -1401,7 +1416,7 @@
     def _has_voter_slot(self, config: Config, member: Member) -> bool:
         """Whether a replica may become a voter without removing another.
 
-        It may replace a voter of its own name, or fill a free place.
+        It may replace a voter of its own name, or take a free slot.
         """
         replaces_voter = any(
             voter.name == member.name for voter in config.voters
@@ -1411,13 +1426,13 @@
         return len(config.voters) < self._max_voters
 
     def _with_voter(self, config: Config, member: Member) -> Config:
-        """Add a voter, unless another replica has taken the free place."""
+        """Add a voter, unless another replica has taken the free slot."""
         if not self._has_voter_slot(config, member):
             return config
         return _membership.with_voter(config, member)
 
     async def _free_voter_slot(self, member: Member) -> bool:
-        """Make room for a voter; False when no voter may be removed.
+        """Free a slot for a voter; False when no voter may be removed.
 
         The disk of a removed voter may still exist, so its removal is a
         change of its own: every majority of the old voters then overlaps
@@ -1448,12 +1463,13 @@
         return next(silent, None)
 
     def _overrepresented_voter(self, member: Member) -> Member | None:
-        """Return a voter to replace for a better spread over the domains.
+        """Return a voter to replace so that voters spread more evenly.
 
-        It is of the domain with most voters, which has at least two more
-        than the domain of *member*. With an even spread, the loss of a whole
-        domain leaves a majority wherever that is possible. Each replacement
-        makes the spread more even, so replacements end.
+        The voter is in the domain with the most voters, which has at least
+        two more than the domain of *member*. With an even spread over the
+        domains, the loss of a whole domain leaves a majority wherever that
+        is possible. Each replacement makes the spread more even, so
+        replacements end.
         """
         counts = collections.Counter(v.domain for v in self.config.voters)
         others = [v for v in self.config.voters if v.id != self._me.id]
--- a/libs/quorum/src/bergamotsail/quorum/_storage.py
+++ b/libs/quorum/src/bergamotsail/quorum/_storage.py
@@ -96,7 +96,7 @@
     """Whether a later record shows that the bad one at *offset* was synced.
 
     The length of the bad record can't be trusted, so every later offset is
-    tried; the next good record is at most a few hundred bytes away.
+    tried; the next good record usually starts a few hundred bytes later.
     """
     for start in range(offset + 1, len(data) - _HEADER.size):
         body = _body_at(data, start)
