--- a/features/steps/digests.py
+++ b/features/steps/digests.py
@@ -12,7 +12,7 @@
 
 @behave.when("a leader of 3000 targets is lost")
 def lose_leader(context) -> None:
-    context.faults = ledger.run(digests.check_many_targets_over_small_links())
+    context.faults = ledger.run(digests.check_many_targets_over_slow_links())
 
 
 @behave.when("{count:d} random histories of targets are followed in pieces")
--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -34,7 +34,7 @@
         )
 
 
-async def check_many_targets_over_small_links() -> list[str]:
+async def check_many_targets_over_slow_links() -> list[str]:
     """Entries keep their leases and all targets when the leader changes.
 
     A new leader sends all targets to every daemon. In a single reply, at
@@ -55,8 +55,8 @@
             await stack.enter_async_context(session)
         await asyncio.sleep(2.0)
         faults += _check_targets_known(sessions)
-        lost = (await replicas.leader()).member.address
-        await replicas.stop(lost)
+        old_leader = (await replicas.leader()).member.address
+        await replicas.stop(old_leader)
         for _ in range(60):
             await asyncio.sleep(0.1)
             faults += _check_targets_known(sessions)
@@ -214,4 +214,4 @@
     with ledger.disabled_guard(guard):
         if check == "random":
             return check_random_histories(200)
-        return ledger.run(check_many_targets_over_small_links())
+        return ledger.run(check_many_targets_over_slow_links())
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -105,7 +105,7 @@
         relay.serve(
             server, control.HEARTBEAT, placement.PLACE, placement.RELEASE
         )
-        survey = routing.Survey(fleet.ask, fleet.rng)
+        survey = routing.Survey(fleet.read_report, fleet.rng)
         self.placements = routing.PlacementClient(
             self.session, transport, wire.LoopClock(), survey
         )
@@ -163,15 +163,17 @@
         """Return the engine of a listed target."""
         return self.engine_by_name[instance.id]
 
-    async def ask(self, info: control.TargetInfo) -> targets.AdapterReport:
+    async def read_report(
+        self, info: control.TargetInfo
+    ) -> targets.AdapterReport:
         """Return an engine's report."""
         return await self.engine_by_name[info.id].report()
 
     async def __aenter__(self) -> "Fleet":
         await self.start_all()
         pool = catalogue.RoutePool(POOL, "/health", 64, self.spec)
-        changed = catalogue.RouteTable(1, (), (pool,))
-        await growth._replace_table(self, changed)
+        table = catalogue.RouteTable(1, (), (pool,))
+        await growth._replace_table(self, table)
         self.entries = [_Entry(self, n) for n in range(self.size.entries)]
         for entry in self.entries:
             await self._stack.enter_async_context(entry)
@@ -184,7 +186,7 @@
         await self._stack.aclose()
         await self.stop_all()
 
-    async def traffic(self, for_s: float) -> None:
+    async def generate_traffic(self, for_s: float) -> None:
         """Generate Poisson traffic at the deployment's rate for a time."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + for_s
@@ -202,7 +204,7 @@
         self._number += 1
         loop = asyncio.get_running_loop()
         arrived_at = loop.time()
-        ask = placement.PlaceRequest(
+        request = placement.PlaceRequest(
             entry.session.boot,
             f"q{self._number}",
             POOL,
@@ -219,29 +221,29 @@
         )
         ended = "placed"
         try:
-            place = await entry.placements.take(ask)
+            reply = await entry.placements.take(request)
         except wire.ServingError as error:
             ended = error.code
         waited_s = loop.time() - arrived_at
         if ended == "placed":
-            ended = await self._run_on_engine(entry, ask, place)
+            ended = await self._run_on_engine(entry, request, reply)
         self.outcomes.append(RequestOutcome(arrived_at, waited_s, ended))
 
     async def _run_on_engine(
         self,
         entry: _Entry,
-        ask: placement.PlaceRequest,
-        place: placement.PlaceReply,
+        request: placement.PlaceRequest,
+        reply: placement.PlaceReply,
     ) -> str:
-        engine = self.engine_by_name[place.target]
+        engine = self.engine_by_name[reply.target]
         outcome = placement.UseOutcome.DONE
-        if engine.begin(ask.adapter):
-            entry.placements.begun(ask.request, place.target, 0.2)
+        if engine.begin(request.adapter):
+            entry.placements.begun(request.request, reply.target, 0.2)
             await asyncio.sleep(RUN_S)
-            engine.end(ask.adapter)
+            engine.end(request.adapter)
         else:
             outcome = placement.UseOutcome.ABSENT
-        entry.placements.give_back(ask.request, place.target, outcome)
+        entry.placements.give_back(request.request, reply.target, outcome)
         absent = outcome is placement.UseOutcome.ABSENT
         return "absent" if absent else "placed"
 
@@ -271,8 +273,11 @@
 
     def count_late(self, since_s: float, until_s: float) -> tuple[int, int]:
         """Count the requests of a period: not placed in time, and all."""
-        own = [a for a in self.outcomes if since_s <= a.arrived_at_s < until_s]
-        return sum(not outcome.placed_in_time for outcome in own), len(own)
+        in_period = [
+            o for o in self.outcomes if since_s <= o.arrived_at_s < until_s
+        ]
+        late = sum(not outcome.placed_in_time for outcome in in_period)
+        return late, len(in_period)
 
 
 async def _measure_report_delay(size: Size, seed: int = 1) -> float:
@@ -284,22 +289,24 @@
     """
     async with Fleet(size, seed) as fleet:
         await asyncio.sleep(SETTLE_S)
-        asking = asyncio.create_task(fleet.traffic(TRAFFIC_S + 3.0))
+        traffic = asyncio.create_task(fleet.generate_traffic(TRAFFIC_S + 3.0))
         await asyncio.sleep(TRAFFIC_S + fleet.rng.uniform(0.0, 1.0))
         loop = asyncio.get_running_loop()
-        lost = (await fleet.leader()).member.address
+        old_leader = (await fleet.leader()).member.address
         reported_at: dict[tuple[str, str], float] = {}
         for address, replica in fleet.replica_by_address.items():
             _record_first_reports(replica.placer, address, reported_at)
-        await fleet.cut_power(lost)
-        follower = (await fleet.leader()).member.address
+        await fleet.cut_power(old_leader)
+        new_leader = (await fleet.leader()).member.address
         leads_at = loop.time()
         await asyncio.sleep(LEASE.lease_s)
-        await asking
-        own = [at for (by, _), at in reported_at.items() if by == follower]
-        if len(own) < size.entries:
+        await traffic
+        report_times = [
+            at for (by, _), at in reported_at.items() if by == new_leader
+        ]
+        if len(report_times) < size.entries:
             return float("inf")
-        return max(own) - leads_at
+        return max(report_times) - leads_at
 
 
 def _record_first_reports(
@@ -327,7 +334,7 @@
     ]
 
 
-async def told_in_time_small() -> list[str]:
+async def reports_in_time_small() -> list[str]:
     """All entries report to a new leader before it assumes that they have.
 
     After USES_REPORTED_S it counts only the running requests reported to it.
@@ -335,23 +342,23 @@
     return await _check_report_delay(SMALL, range(16, 22))
 
 
-async def told_in_time_large() -> list[str]:
+async def reports_in_time_large() -> list[str]:
     """The same with hundreds of entries, which send heartbeats less often."""
     return await _check_report_delay(LARGE, range(1, 2))
 
 
-async def held_until_one_leads() -> list[str]:
+async def heartbeat_held_in_election() -> list[str]:
     """A heartbeat sent while there is no leader gets the next one's reply."""
     async with Fleet(SMALL) as fleet:
         await asyncio.sleep(SETTLE_S)
-        lost = (await fleet.leader()).member.address
-        late = _Entry(fleet, SMALL.entries)
-        await fleet.cut_power(lost)
-        late.session.leader.found(next(iter(fleet.node_by_address)))
+        old_leader = (await fleet.leader()).member.address
+        late_entry = _Entry(fleet, SMALL.entries)
+        await fleet.cut_power(old_leader)
+        late_entry.session.leader.found(next(iter(fleet.node_by_address)))
         await asyncio.sleep(0.35)
         began_at = asyncio.get_running_loop().time()
         try:
-            await late.session._send_heartbeat()
+            await late_entry.session._send_heartbeat()
         except wire.ServingError as error:
             return [f"The heartbeat was refused: {error.message}"]
         took_s = asyncio.get_running_loop().time() - began_at
@@ -361,9 +368,9 @@
 
 
 SCENARIOS = {
-    "told_in_time_small": told_in_time_small,
-    "told_in_time_large": told_in_time_large,
-    "held_until_one_leads": held_until_one_leads,
+    "reports_in_time_small": reports_in_time_small,
+    "reports_in_time_large": reports_in_time_large,
+    "heartbeat_held_in_election": heartbeat_held_in_election,
 }
 
 # Each mutant switches off a guard: its name, the scenario that must notice,
@@ -371,7 +378,7 @@
 MUTANTS = (
     (
         "send callers to a leader that is silent",
-        "told_in_time_small",
+        "reports_in_time_small",
         (
             quorum.Node,
             "has_leader_contact",
@@ -380,7 +387,7 @@
     ),
     (
         "refuse at once while nobody leads",
-        "held_until_one_leads",
+        "heartbeat_held_in_election",
         (_coordinator, "HEARTBEAT_HOLD_S", 0.0),
     ),
 )
