--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -1,8 +1,8 @@
 Feature: Large deployments
   Real replicas, sessions and placement clients run in virtual time.
 
-  Scenario Outline: <scenario>: a new leader is found by all
-    When the fleet goes through <scenario>
+  Scenario Outline: <scenario>: all daemons find a new leader
+    When a large deployment runs <scenario>
     Then no promise is broken
 
     Examples:
@@ -11,6 +11,6 @@
       | reports_in_time_large      |
       | heartbeat_held_in_election |
 
-  Scenario: Every guard of a large fleet that is switched off is noticed
-    When each guard of a fleet is switched off
+  Scenario: Every guard of a large deployment that is switched off is noticed
+    When each guard of a large deployment is switched off
     Then each is noticed there
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -9,12 +9,12 @@
 JOBS = 3
 
 
-@behave.when("the fleet goes through {name}")
+@behave.when("a large deployment runs {name}")
 def fleet_scenario(context, name: str) -> None:
     context.faults = fleet.run_scenario(name)
 
 
-@behave.when("each guard of a fleet is switched off")
+@behave.when("each guard of a large deployment is switched off")
 def fleet_mutants(context) -> None:
     context.mutants = fleet.MUTANTS
     numbers = range(len(fleet.MUTANTS))
--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -171,25 +171,25 @@
 
 
 def _return_newest_version(log: control.DigestLog, *_: object) -> int:
-    """Send all changes in one reply: the replacement in a mutant."""
+    """Send all changes in one reply: replaces the limit in a mutant."""
     return log.version
 
 
-# Each mutant switches off a guard: its name, the check that must notice, and
+# Each mutant switches off a guard: its name, the check that must fail, and
 # the arguments of mock.patch.object.
 MUTANTS = (
     (
-        "tell all targets in one answer",
+        "send all targets in one reply",
         "links",
         (control.DigestLog, "_last_version_that_fits", _return_newest_version),
     ),
     (
-        "leave the rest for the next heartbeat",
+        "send the rest only with the next heartbeat",
         "links",
         (control.Session, "kick", lambda _: None),
     ),
     (
-        "forget the former targets with the first piece",
+        "drop the former targets at the first piece",
         "random",
         (_digest.Digest, "apply", lambda *args: _drop_former_targets(*args)),
     ),
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -1,8 +1,9 @@
-"""Tests of large deployments: hundreds of entries, dozens of engines.
+"""Tests of large deployments: up to 191 entries and 78 engines.
 
 They run in virtual time. Replicas, sessions and placement clients are real,
 with their real time-outs and pauses, but processor time is not simulated.
-Engines are the oracles of ledger.py.
+Engines are the fake engines of ledger.py. An entry is a daemon that accepts
+requests.
 """
 
 import asyncio
@@ -343,7 +344,7 @@
 
 
 async def reports_in_time_large() -> list[str]:
-    """The same with hundreds of entries, which send heartbeats less often."""
+    """The same with 191 entries, which send heartbeats less often."""
     return await _check_report_delay(LARGE, range(1, 2))
 
 
@@ -373,11 +374,11 @@
     "heartbeat_held_in_election": heartbeat_held_in_election,
 }
 
-# Each mutant switches off a guard: its name, the scenario that must notice,
-# and the arguments of mock.patch.object.
+# Each mutant switches off a guard: its name, the scenario that must fail, and
+# the arguments of mock.patch.object.
 MUTANTS = (
     (
-        "send callers to a leader that is silent",
+        "redirect callers to a silent leader",
         "reports_in_time_small",
         (
             quorum.Node,
@@ -386,7 +387,7 @@
         ),
     ),
     (
-        "refuse at once while nobody leads",
+        "refuse heartbeats at once while there is no leader",
         "heartbeat_held_in_election",
         (_coordinator, "HEARTBEAT_HOLD_S", 0.0),
     ),
