--- a/libs/control/src/bergamotsail/control/_coordinator.py
+++ b/libs/control/src/bergamotsail/control/_coordinator.py
@@ -372,7 +372,7 @@
         request: object,
         timeout_s: float = RELAY_TIMEOUT_S,
     ) -> object:
-        """Forward a call to the leader, at most over one hop."""
+        """Forward a call to the leader over at most one hop."""
         leader = self._node.leader
         no_other_leader = leader is None or leader.address == self._address
         if (
--- a/libs/control/src/bergamotsail/control/_floor.py
+++ b/libs/control/src/bergamotsail/control/_floor.py
@@ -28,6 +28,7 @@
     ) -> None:
         self._retention_s = retention_s
         self._wall_s = wall_s
+        # The floor in force, and when this replica first saw it.
         self._last: tuple[int, float] | None = None
 
     def next_floor_ms(self, floor_ms: int, now: float) -> int | None:
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -22,11 +22,15 @@
 STATE_TIMEOUT_S = 30.0
 # A fetch of the state is aborted after this long without a piece.
 STATE_SILENCE_S = 1.0
+# Shortest pause between heartbeats, also after a kick.
 KICK_SPACING_S = 0.02
 MAX_SEEDS = 9
+# Time without an answered heartbeat after which neighbours are tried: other
+# daemons, which relay calls to the leader.
 NEIGHBOUR_AFTER_S = 0.8
 MAX_NEIGHBOUR_ATTEMPTS = 2
 DIRECT_RETRY_INTERVAL_S = 2.0
+# How much shorter the pause between heartbeats is without a valid lease.
 SEARCH_SPEEDUP = 3
 # Upper bound for heartbeats per second of all daemons together, to limit the
 # load on the leader, where a placement call takes 0.4 ms. With 80 daemons each
--- a/libs/control/src/bergamotsail/control/_turns.py
+++ b/libs/control/src/bergamotsail/control/_turns.py
@@ -14,7 +14,9 @@
 from bergamotsail.control import _messages
 from bergamotsail import wire
 
+# A turn that was not ended is given to the next load after this time.
 TURN_LEASE_S = 15.0
+# Half-life of the use of the store that is charged to a member.
 USE_HALF_LIFE_S = 30.0
 
 
