--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -11,6 +11,6 @@
       | reports_in_time_large      |
       | heartbeat_held_in_election |
 
-  Scenario: Every guard of a large deployment that is switched off is noticed
+  Scenario: Every guard of a large fleet that is switched off is noticed
     When each guard of a large deployment is switched off
     Then each is noticed there
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -378,7 +378,7 @@
 # the arguments of mock.patch.object.
 MUTANTS = (
     (
-        "redirect callers to a silent leader",
+        "send callers to a leader that is silent",
         "reports_in_time_small",
         (
             quorum.Node,
