--- a/features/support/digests.py
+++ b/features/support/digests.py
@@ -34,7 +34,7 @@
         )
 
 
-async def check_many_targets_over_small_links() -> list[str]:
+async def check_many_targets_over_slow_links() -> list[str]:
     """Entries keep their leases and all targets when the leader changes.
 
     A new leader sends all targets to every daemon. In a single reply, at
@@ -55,8 +55,8 @@
             await stack.enter_async_context(session)
         await asyncio.sleep(2.0)
         faults += _check_targets_known(sessions)
-        lost = (await replicas.leader()).member.address
-        await replicas.stop(lost)
+        old_leader = (await replicas.leader()).member.address
+        await replicas.stop(old_leader)
         for _ in range(60):
             await asyncio.sleep(0.1)
             faults += _check_targets_known(sessions)
@@ -171,25 +171,25 @@
 
 
 def _return_newest_version(log: control.DigestLog, *_: object) -> int:
-    """Send all changes in one reply: the replacement in a mutant."""
+    """Send all changes in one reply: replaces the limit in a mutant."""
     return log.version
 
 
-# Each mutant switches off a guard: its name, the check that must notice, and
+# Each mutant switches off a guard: its name, the check that must fail, and
 # the arguments of mock.patch.object.
 MUTANTS = (
     (
-        "tell all targets in one answer",
+        "send all targets in one reply",
         "links",
-        (control.DigestLog, "_until", _return_newest_version),
+        (control.DigestLog, "_last_version_that_fits", _return_newest_version),
     ),
     (
-        "leave the rest for the next heartbeat",
+        "send the rest only with the next heartbeat",
         "links",
         (control.Session, "kick", lambda _: None),
     ),
     (
-        "forget the former targets with the first piece",
+        "drop the former targets at the first piece",
         "random",
         (_digest.Digest, "apply", lambda *args: _drop_former_targets(*args)),
     ),
@@ -214,4 +214,4 @@
     with ledger.disabled_guard(guard):
         if check == "random":
             return check_random_histories(200)
-        return ledger.run(check_many_targets_over_small_links())
+        return ledger.run(check_many_targets_over_slow_links())
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -124,7 +124,7 @@
             del self._exclusive_by_identity[identity]
             exclusive.over.set()
 
-    async def take(
+    async def record_observations(
         self,
         boot: str,
         observations: collections.abc.Sequence[quarantine.Observation],
@@ -184,8 +184,8 @@
         key = (entry.id, entry.revision)
         return self._seen_at.get(key, self._clock.now())
 
-    async def tend(self) -> None:
-        """Release requests in time, evict old entries, retry failed writes."""
+    async def maintain(self) -> None:
+        """Release due requests, evict excess entries, retry failed commits."""
         now = self._clock.now()
         self._counter.forget_before(now - quarantine.KEPT_S)
         entries = self._view().quarantine_by_id
@@ -255,12 +255,12 @@
 
 
 def hold_s(ends: int) -> float:
-    """Return the quarantine of a request that crashed so many targets.
+    """Return the quarantine in seconds after *ends* crashed targets.
 
     Example: 900 s after 3 crashes, 1,800 s after 4, a day at most.
     """
-    further = max(ends - quarantine.MAX_ENDS, 0)
-    return min(HOLD_S * 2.0**further, MAX_HOLD_S)
+    extra_ends = max(ends - quarantine.MAX_ENDS, 0)
+    return min(HOLD_S * 2.0**extra_ends, MAX_HOLD_S)
 
 
 def _event_name(value: catalogue.Quarantine | None) -> str:
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -22,18 +22,22 @@
 STATE_TIMEOUT_S = 30.0
 # A fetch of the state is aborted after this long without a piece.
 STATE_SILENCE_S = 1.0
+# Shortest pause between heartbeats, also after a kick.
 KICK_SPACING_S = 0.02
 MAX_SEEDS = 9
+# Time without an answered heartbeat after which neighbours are tried: other
+# daemons, which relay calls to the leader.
 NEIGHBOUR_AFTER_S = 0.8
 MAX_NEIGHBOUR_ATTEMPTS = 2
 DIRECT_RETRY_INTERVAL_S = 2.0
+# How much shorter the pause between heartbeats is without a valid lease.
 SEARCH_SPEEDUP = 3
 # Upper bound for heartbeats per second of all daemons together, to limit the
 # load on the leader, where a placement call takes 0.4 ms. With 80 daemons each
 # sends one every 0.53 s.
 MAX_HEARTBEATS_PER_S = 150.0
-# Heartbeats per lease, however many daemons there are: a lease survives the
-# loss of two.
+# Heartbeats per lease, however many daemons there are: after a refused one,
+# the next is still sent before the lease expires.
 HEARTBEATS_PER_LEASE = 3
 # The bound while daemons search for a leader; most of these heartbeats are
 # refused cheaply.
@@ -66,7 +70,7 @@
     def declare_run_bound(self) -> float:
         """Return an upper bound for the time admitted work runs, in seconds.
 
-        It binds also what is admitted later, until :meth:`confirm_run_bound`
+        It also binds what is admitted later, until :meth:`confirm_run_bound`
         confirms that the leader knows of a higher bound.
         """
         return 0.0
@@ -113,7 +117,7 @@
     return None
 
 
-class Leader:
+class LeaderClient:
     """Client of the leader; finds it through any replica.
 
     Args:
@@ -154,7 +158,10 @@
     def set_neighbour(self, neighbour: str | None) -> None:
         """Relay calls through another daemon, or None to call directly."""
         if neighbour != self._neighbour:
-            logging.info("session: Leader is called via %s.", neighbour)
+            logging.info(
+                "session: Calls to the leader now go %s.",
+                f"via {neighbour}" if neighbour else "to it directly",
+            )
             self._neighbour = neighbour
             self._notify_moved()
 
@@ -179,27 +186,27 @@
         call: wire.Call,
         request: object,
         timeout_s: float,
-        before_try: collections.abc.Callable[[], None] = _no_op,
+        before_attempt: collections.abc.Callable[[], None] = _no_op,
     ) -> object:
         """Call the leader; each replica is tried once.
 
         Args:
-            before_try: called right before the request is sent to one.
+            before_attempt: called right before each attempt.
 
         Raises:
             PeerLostError: a reply was lost, so the call may have run.
             ServingError: the last error, when every replica failed.
         """
-        order = [self._leader]
-        order += [seed for seed in self._seeds if seed != self._leader]
+        queue = [self._leader]
+        queue += [seed for seed in self._seeds if seed != self._leader]
         tried: set[str] = set()
-        last: wire.ServingError | None = None
-        while order:
-            address = order.pop(0)
+        last_error: wire.ServingError | None = None
+        while queue:
+            address = queue.pop(0)
             if address in tried:
                 continue
             tried.add(address)
-            before_try()
+            before_attempt()
             try:
                 reply = await self._transport.call(
                     address, call, request, timeout_s
@@ -207,17 +214,17 @@
                 self.found(address)
                 return reply
             except wire.NotLeaderError as error:
-                last = error
+                last_error = error
                 if error.use is not None:
-                    order.insert(0, error.use)
+                    queue.insert(0, error.use)
             except (wire.NotSentError, wire.ReplicaFailedError) as error:
-                last = error
+                last_error = error
             except wire.PeerLostError as error:
                 # The leader is unknown now; the next call starts elsewhere.
-                self.found(order[0] if order else address)
+                self.found(queue[0] if queue else address)
                 raise error
-        assert last is not None
-        raise last
+        assert last_error is not None
+        raise last_error
 
     async def command(self, command: catalogue.Command) -> object:
         """Commit a command and return its typed result."""
@@ -245,7 +252,7 @@
     def __init__(
         self,
         daemon: _messages.DaemonInfo,
-        leader: Leader,
+        leader: LeaderClient,
         transport: wire.PeerTransport,
         timing: _messages.LeaseTiming,
         node: quorum.Node | None = None,
@@ -412,9 +419,9 @@
         daemons = len(self.digest.daemon_by_boot)
         usual_s = self._timing.heartbeat_s
         if self.fresh():
-            spaced_s = daemons / MAX_HEARTBEATS_PER_S
-            most_s = self._timing.usable_s / HEARTBEATS_PER_LEASE
-            return max(usual_s, min(spaced_s, most_s))
+            rate_limited_s = daemons / MAX_HEARTBEATS_PER_S
+            max_s = self._timing.usable_s / HEARTBEATS_PER_LEASE
+            return max(usual_s, min(rate_limited_s, max_s))
         return max(usual_s / SEARCH_SPEEDUP, daemons / MAX_SEARCHES_PER_S)
 
     def _log_freshness(self) -> None:
@@ -465,18 +472,18 @@
         self._participant.view_changed()
 
     def _log_renewal(self, sent_at: float, answered_at: float) -> None:
-        """Log a first lease, or one that expired before its renewal."""
+        """Log a first lease, or the renewal of one that has expired."""
         if self.fresh():
             return
         now = self._clock.now()
         gap_s = now - self._lease_until
         logging.info(
             "session: Lease granted. left_s=%.3f answer_s=%.3f "
-            "catch_up_s=%.3f without=%s",
+            "catch_up_s=%.3f gap_s=%s",
             sent_at + self._timing.usable_s - now,
             answered_at - sent_at,
             now - answered_at,
-            "ever" if math.isinf(gap_s) else f"{gap_s:.3f} s",
+            "none" if math.isinf(gap_s) else f"{gap_s:.3f}",
         )
 
     def _renew(self, sent_at: float) -> None:
@@ -488,8 +495,8 @@
 
         A new leader knows few daemons at first, so those known to earlier
         leaders are kept for the duration of a lease, also over several
-        leaders in a row. Dropping them at the second one left 3 of 30
-        daemons, and callers were told only those addresses.
+        leaders in a row. Otherwise, after two changes of the leader in quick
+        succession, callers might be told only 3 of 30 addresses.
         """
         if delta.full:
             self._previous_by_boot = dict(self.daemon_by_boot)
@@ -514,7 +521,7 @@
                 _messages.HEARTBEAT,
                 request,
                 self._timing.call_s,
-                self._sending,
+                self._record_send_time,
             )
             self.leader.set_neighbour(None)
             return reply
@@ -526,19 +533,19 @@
                 raise
             return reply
 
-    def _sending(self) -> None:
+    def _record_send_time(self) -> None:
         """Record the send time of this attempt.
 
         A lease counts from the attempt that was answered. Replicas hold
-        heartbeats during an election; counted from the first of three
-        attempts, a first lease had already expired when it arrived.
+        heartbeats during an election, so a lease that counted from the first
+        of three attempts could have expired before the reply arrives.
         """
         self._sent_at = self._clock.now()
 
     async def _send_via_neighbour(
         self, request: _messages.Heartbeat, neighbour: str
     ) -> _messages.HeartbeatReply | None:
-        """Send through the same neighbour; periodically try directly."""
+        """Send through the neighbour; periodically try the leader first."""
         request = dataclasses.replace(request, fetches=False)
         calls = [(neighbour, self._timing.call_s)]
         if self._clock.now() - self._direct_tried_at > DIRECT_RETRY_INTERVAL_S:
@@ -547,7 +554,7 @@
             direct = (self.leader.direct_address, self._timing.call_s / 2)
             calls.insert(0, direct)
         for address, timeout_s in calls:
-            self._sending()
+            self._record_send_time()
             with contextlib.suppress(wire.ServingError):
                 reply = await self._transport.call(
                     address, _messages.HEARTBEAT, request, timeout_s
@@ -560,7 +567,7 @@
     async def _send_via_any_neighbour(
         self, request: _messages.Heartbeat
     ) -> _messages.HeartbeatReply | None:
-        """Try some neighbours, other ones each time."""
+        """Send through one of a few neighbours, different ones each time."""
         request = dataclasses.replace(request, fetches=False)
         neighbours = [
             info.peer_address
@@ -571,7 +578,7 @@
         start = self._neighbours_tried * MAX_NEIGHBOUR_ATTEMPTS
         for number in range(min(MAX_NEIGHBOUR_ATTEMPTS, len(neighbours))):
             address = neighbours[(start + number) % len(neighbours)]
-            self._sending()
+            self._record_send_time()
             with contextlib.suppress(wire.ServingError):
                 reply = await self._transport.call(
                     address,
@@ -588,8 +595,8 @@
         """Bring the view up to the commit index of the reply.
 
         Returns:
-            False when that needs a fetch. It runs in the background: the
-            session continues, the lease is renewed when it is done.
+            False when that needs a fetch. It runs in the background; the
+            session continues, and the lease is renewed once it is done.
         """
         if self._node is not None:
             deadline = self._clock.now() + CALL_TIMEOUT_S
@@ -636,7 +643,7 @@
 
     async def _fetch_state(self, address: str) -> None:
         known, after = self._own_view, self._own_view.index
-        fresh_view = catalogue.View()
+        new_view = catalogue.View()
         changes: list[catalogue.Effect] = []
         index, whole = 0, True
         pieces = self._transport.stream(
@@ -647,7 +654,7 @@
         )
         assembler = catalogue.EffectAssembler()
         monitored_stream = wire.monitored_stream(
-            pieces, _fetch_stalled, STATE_SILENCE_S
+            pieces, _make_stall_error, STATE_SILENCE_S
         )
         async with contextlib.aclosing(monitored_stream):
             async for piece in monitored_stream:
@@ -658,21 +665,21 @@
                     changes.extend(ready)
                     continue
                 for effect in ready:
-                    fresh_view.apply(effect)
+                    new_view.apply(effect)
         if self._own_view is not known or known.index != after:
             # A heartbeat has advanced the view meanwhile.
             return
         if index < after:
             return
         if whole:
-            self._own_view = fresh_view
+            self._own_view = new_view
         for effect in changes:
             self._own_view.apply(effect)
         self._own_view.index = index
         logging.info("session: State fetched at index %d.", index)
 
 
-def _fetch_stalled() -> wire.ServingError:
+def _make_stall_error() -> wire.ServingError:
     return wire.PeerLostError(
         "Timed out waiting for a piece of the state. Fetch it again."
     )
--- a/libs/daemon/src/bergamotsail/daemon/_roles.py
+++ b/libs/daemon/src/bergamotsail/daemon/_roles.py
@@ -423,7 +423,7 @@
         self.peer_endpoint = _peer_endpoint.PeerEndpoint(
             self.server, settings.peer_token, self.lag, self.metrics
         )
-        self.leader = control.Leader(transport, settings.seeds)
+        self.leader = control.LeaderClient(transport, settings.seeds)
         self.process_monitor = _process_monitor.ProcessMonitor(
             self.lag, self.metrics, clock, role="entry"
         )
--- a/libs/quorum/src/bergamotsail/quorum/_node.py
+++ b/libs/quorum/src/bergamotsail/quorum/_node.py
@@ -26,11 +26,12 @@
 from bergamotsail.quorum import _storage
 from bergamotsail import wire
 
-MAX_BATCH = 256
-SNAPSHOT_LINES = 500
+MAX_ENTRIES_PER_APPEND = 256
+LINES_PER_PIECE = 500
 JOIN_INTERVAL_S = 0.5
 CONFIRM_POLL_S = 0.005
-VOTER_TIMEOUT_S = 2.0
+# Time without an answered call after which a replica counts as unresponsive.
+UNRESPONSIVE_AFTER_S = 2.0
 MAX_REDIRECTS = 2
 # How long forming the log waits for seeds that are still reading their disks.
 FORM_WAIT_S = 5.0
@@ -129,9 +130,9 @@
             an operator, once all seeds answer and are blank. True at the
             very first start only.
         max_voters: at this number of voters a further replica stays a
-            learner until a voter stops answering, or until some domain has
-            at least two voters more than the replica's own domain; it then
-            replaces that voter.
+            learner until it can replace a voter that has stopped answering,
+            or one of a domain with at least two voters more than the
+            replica's own domain.
         domain: failure domain of this replica.
         started_at: when this process started, on the clock; the time of
             loading when None.
@@ -182,18 +183,20 @@
         self._transfer_term = -1
         self._pre_vote_for: str | None = None
         self._pre_vote_until = 0.0
+        # Index of the first entry of the own term as leader, 0 otherwise.
         self._ready_index = 0
         self._transferring = False
+        # The snapshot being received, and the number of its next piece.
         self._incoming: tuple[_messages.SnapshotMeta, int] | None = None
         self._incoming_lines = 0
         self._lock = asyncio.Lock()
         self._flush_wanted = asyncio.Event()
-        self._commit_moved = asyncio.Event()
+        self._commit_raised = asyncio.Event()
         self._election_requested = asyncio.Event()
         self._waiter_by_index: dict[int, _Waiter] = {}
-        self._next_by_peer: dict[str, int] = {}
-        self._match_by_peer: dict[str, int] = {}
-        self._acked_by_peer: dict[str, float] = {}
+        self._next_index_by_peer: dict[str, int] = {}
+        self._match_index_by_peer: dict[str, int] = {}
+        self._acked_at_by_peer: dict[str, float] = {}
         self._wake_by_peer: dict[str, asyncio.Event] = {}
         self._replicator_by_peer: dict[str, asyncio.Task] = {}
         self._join_tasks: dict[str, asyncio.Task] = {}
@@ -357,12 +360,14 @@
                 f"Replica {self.name} has failed. Ask another replica.",
                 retry_after_s=1.0,
             )
-        known = self.leader is not None and self.leader.id != self._me.id
-        known = known and self.has_leader_contact
+        can_redirect = (
+            self.leader is not None and self.leader.id != self._me.id
+        )
+        can_redirect = can_redirect and self.has_leader_contact
         return wire.NotLeaderError(
             f"Replica {self.name} is not the leader. Ask the leader.",
             retry_after_s=self._timing.election_s,
-            use=self.leader.address if known else None,
+            use=self.leader.address if can_redirect else None,
         )
 
     async def confirm_leadership(self, timeout_s: float) -> None:
@@ -396,13 +401,14 @@
         self._transferring = True
         try:
             successor = max(
-                others, key=lambda m: self._match_by_peer.get(m.id, 0)
+                others, key=lambda m: self._match_index_by_peer.get(m.id, 0)
             )
             deadline = self._clock.now() + self._timing.election_s
             while (
                 self.role is Role.LEADER
                 and self._clock.now() < deadline
-                and self._match_by_peer.get(successor.id, 0) < self.last_index
+                and self._match_index_by_peer.get(successor.id, 0)
+                < self.last_index
             ):
                 await self._clock.sleep(self._timing.heartbeat_s / 10)
             request = _messages.LeadRequest(successor.id, self.term)
@@ -463,7 +469,7 @@
 
     async def on_form(self, request: _messages.FormRequest) -> _messages.Empty:
         """Store the first configuration of a blank replica."""
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         async with self._lock:
             if self.last_index > 0:
                 raise wire.ConflictError("This replica already has a log.")
@@ -480,7 +486,7 @@
 
         A granted pre-vote is not stored.
         """
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         async with self._lock:
             self._check_not_failed()
             why = self._refusal_reason(request)
@@ -501,7 +507,7 @@
         self, request: _messages.AppendRequest
     ) -> _messages.AppendReply:
         """Append entries from the leader; they are synced before the reply."""
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         async with self._lock:
             self._check_not_failed()
             if not await self._accept_leader(request.term, request.leader):
@@ -512,7 +518,7 @@
             await self._flush_locked()
             self._last_contact_at = self._clock.now()
             last = request.prev_index + len(request.entries)
-            self._move_commit(min(request.commit, last))
+            self._raise_commit(min(request.commit, last))
             await self._steps.reach(wire.Step.ACK, wire.Phase.BEFORE)
             return _messages.AppendReply(self.term, True, last)
 
@@ -520,7 +526,7 @@
         self, piece: _messages.SnapshotPiece
     ) -> _messages.AppendReply:
         """Store a piece of a snapshot; install it after the last piece."""
-        self._check_to(piece.to)
+        self._check_recipient(piece.to)
         async with self._lock:
             self._check_not_failed()
             if not await self._accept_leader(piece.term, piece.leader):
@@ -543,7 +549,7 @@
 
     async def on_lead(self, request: _messages.LeadRequest) -> _messages.Empty:
         """Start an election at once, as the leader transfers leadership."""
-        self._check_to(request.to)
+        self._check_recipient(request.to)
         if request.term == self.term:
             self._transfer_term = request.term
             self._election_requested.set()
@@ -573,7 +579,7 @@
                 retry_after_s=self._timing.heartbeat_s,
             )
 
-    def _check_to(self, to: str) -> None:
+    def _check_recipient(self, to: str) -> None:
         self._check_loaded()
         if to != self._me.id:
             raise wire.NotFoundError(
@@ -903,9 +909,9 @@
         )
         self._emit_role_change("leads", "")
         self._transferring = False
-        self._next_by_peer.clear()
-        self._match_by_peer.clear()
-        self._acked_by_peer = {m.id: asked_at for m in self.config.members}
+        self._next_index_by_peer.clear()
+        self._match_index_by_peer.clear()
+        self._acked_at_by_peer = {m.id: asked_at for m in self.config.members}
         self._ready_index = self._append_local(_messages.EntryKind.NOOP, b"")
         self._start_replicators()
 
@@ -936,9 +942,9 @@
         """
         now = self._clock.now()
         return {
-            peer.name: round(now - self._acked_by_peer[peer.id], 3)
+            peer.name: round(now - self._acked_at_by_peer[peer.id], 3)
             for peer in self.config.members
-            if peer.id in self._acked_by_peer and peer != self._me
+            if peer.id in self._acked_at_by_peer and peer != self._me
         }
 
     def _emit_election_result(
@@ -1110,7 +1116,10 @@
         self._synced_index = last
 
     def _fail(self, error: BaseException) -> None:
-        """Fail for good: after a failed sync the disk content is unknown."""
+        """Mark this replica as failed until it is restarted.
+
+        After a failed sync, for example, the content of the disk is unknown.
+        """
         self.error = error
         self._become_follower(None, "replica failed")
         self.role = Role.FAILED
@@ -1121,7 +1130,7 @@
         for peer in self.config.members:
             if peer.id == self._me.id or peer.id in self._replicator_by_peer:
                 continue
-            self._acked_by_peer.setdefault(peer.id, self._clock.now())
+            self._acked_at_by_peer.setdefault(peer.id, self._clock.now())
             self._wake_by_peer[peer.id] = asyncio.Event()
             self._replicator_by_peer[peer.id] = asyncio.create_task(
                 self._replicate(peer, self.term)
@@ -1134,7 +1143,7 @@
         self._wake_by_peer.clear()
 
     async def _replicate(self, peer: Member, term: int) -> None:
-        self._next_by_peer[peer.id] = self.last_index + 1
+        self._next_index_by_peer[peer.id] = self.last_index + 1
         wake = self._wake_by_peer[peer.id]
         while self.role is Role.LEADER and self.term == term:
             if peer not in self.config.members:
@@ -1150,11 +1159,11 @@
 
     async def _send_next(self, peer: Member) -> bool:
         """Send the next entries or a snapshot; True when there is more."""
-        next_index = self._next_by_peer[peer.id]
+        next_index = self._next_index_by_peer[peer.id]
         if next_index <= self._log.snapshot.index:
             await self._send_snapshot(peer)
             return True
-        last = min(self.last_index, next_index + MAX_BATCH - 1)
+        last = min(self.last_index, next_index + MAX_ENTRIES_PER_APPEND - 1)
         entries = self._log.entries_between(next_index, last)
         request = _messages.AppendRequest(
             peer.id,
@@ -1167,16 +1176,18 @@
         )
         sent_at = self._clock.now()
         reply = await self._call(peer, _messages.APPEND, request)
-        if not await self._still_leading(reply, request.term):
+        if not await self._leads_after_reply(reply, request.term):
             return False
-        self._acked_by_peer[peer.id] = sent_at
+        self._acked_at_by_peer[peer.id] = sent_at
         if not reply.success:
             retry_index = min(next_index - 1, reply.last_index + 1)
-            self._next_by_peer[peer.id] = max(retry_index, 1)
+            self._next_index_by_peer[peer.id] = max(retry_index, 1)
             return True
-        match = max(self._match_by_peer.get(peer.id, 0), reply.last_index)
-        self._match_by_peer[peer.id] = match
-        self._next_by_peer[peer.id] = match + 1
+        match = max(
+            self._match_index_by_peer.get(peer.id, 0), reply.last_index
+        )
+        self._match_index_by_peer[peer.id] = match
+        self._next_index_by_peer[peer.id] = match + 1
         await self._steps.reach(wire.Step.ACK, wire.Phase.AFTER)
         self._advance_commit()
         return match < self.last_index
@@ -1186,7 +1197,7 @@
         assert stored is not None
         meta, lines = stored
         term = self.term
-        starts = range(0, max(len(lines), 1), SNAPSHOT_LINES)
+        starts = range(0, max(len(lines), 1), LINES_PER_PIECE)
         for number, start in enumerate(starts):
             piece = _messages.SnapshotPiece(
                 peer.id,
@@ -1194,24 +1205,28 @@
                 self._me,
                 meta,
                 number,
-                tuple(lines[start : start + SNAPSHOT_LINES]),
-                start + SNAPSHOT_LINES >= len(lines),
+                tuple(lines[start : start + LINES_PER_PIECE]),
+                start + LINES_PER_PIECE >= len(lines),
             )
             sent_at = self._clock.now()
             reply = await self._call(peer, _messages.SNAPSHOT, piece)
-            if not await self._still_leading(reply, term):
+            if not await self._leads_after_reply(reply, term):
                 return
-            self._acked_by_peer[peer.id] = sent_at
+            self._acked_at_by_peer[peer.id] = sent_at
             if not reply.success:
                 raise wire.PeerLostError(
                     f"{peer.name} refused piece {number} of the snapshot; "
                     "it must be sent again from the start."
                 )
-        self._next_by_peer[peer.id] = meta.index + 1
+        self._next_index_by_peer[peer.id] = meta.index + 1
 
-    async def _still_leading(
+    async def _leads_after_reply(
         self, reply: _messages.AppendReply, term: int
     ) -> bool:
+        """Whether this replica still leads in *term*.
+
+        A higher term in the reply is adopted, which ends the leadership.
+        """
         if reply.term > self.term:
             await self._run_to_completion(self._learn_term, reply.term)
         return self.role is Role.LEADER and self.term == term
@@ -1223,7 +1238,11 @@
         """
         now = self._clock.now()
         times = [
-            now if m.id == self._me.id else self._acked_by_peer.get(m.id, 0.0)
+            (
+                now
+                if m.id == self._me.id
+                else self._acked_at_by_peer.get(m.id, 0.0)
+            )
             for m in self.config.voters
         ]
         if not times:
@@ -1232,25 +1251,30 @@
         return times[self.config.majority - 1]
 
     def _advance_commit(self) -> None:
+        """Commit the entries that a majority of the voters has synced.
+
+        Entries of earlier terms are committed only together with one of the
+        current term, since another leader could still overwrite them.
+        """
         if self.role is not Role.LEADER:
             return
         matches = [
             (
                 self._synced_index
                 if m.id == self._me.id
-                else self._match_by_peer.get(m.id, 0)
+                else self._match_index_by_peer.get(m.id, 0)
             )
             for m in self.config.voters
         ]
         matches.sort(reverse=True)
         index = matches[self.config.majority - 1]
         if index > self.commit and self._log.term_at(index) == self.term:
-            self._move_commit(index)
+            self._raise_commit(index)
 
-    def _move_commit(self, index: int) -> None:
+    def _raise_commit(self, index: int) -> None:
         if index > self.commit:
             self.commit = index
-            self._commit_moved.set()
+            self._commit_raised.set()
 
     def _append_reply(self, success: bool) -> _messages.AppendReply:
         return _messages.AppendReply(self.term, success, self.last_index)
@@ -1259,8 +1283,8 @@
 
     async def _apply(self) -> None:
         while True:
-            await self._commit_moved.wait()
-            self._commit_moved.clear()
+            await self._commit_raised.wait()
+            self._commit_raised.clear()
             while self.applied < self.commit:
                 await self._steps.reach(wire.Step.APPLY, wire.Phase.BEFORE)
                 if self.applied < self.commit:
@@ -1311,7 +1335,7 @@
     # Membership.
 
     async def _join(self) -> None:
-        """Ask to join while this replica is not a voter."""
+        """Ask to join while this replica is not known to be a voter."""
         while True:
             if self._forms and not self.config.voters:
                 await self._form_if_first_seed()
@@ -1363,7 +1387,7 @@
     async def _add_replica(self, member: Member) -> None:
         """Add a replica as a learner, then as a voter once it caught up.
 
-        It replaces a voter of the same name in one step. That is safe
+        A voter of the same name is replaced in one step. That is safe
         because the earlier replica lost its disk, so it can never vote or
         acknowledge again, and because the new one already has every
         committed entry. Adding the new voter first would need three of four
@@ -1392,7 +1416,7 @@
     def _has_voter_slot(self, config: Config, member: Member) -> bool:
         """Whether a replica may become a voter without removing another.
 
-        It may replace a voter of its own name, or fill a free place.
+        It may replace a voter of its own name, or take a free slot.
         """
         replaces_voter = any(
             voter.name == member.name for voter in config.voters
@@ -1402,13 +1426,13 @@
         return len(config.voters) < self._max_voters
 
     def _with_voter(self, config: Config, member: Member) -> Config:
-        """Add a voter, unless another replica has taken the free place."""
+        """Add a voter, unless another replica has taken the free slot."""
         if not self._has_voter_slot(config, member):
             return config
         return _membership.with_voter(config, member)
 
     async def _free_voter_slot(self, member: Member) -> bool:
-        """Make room for a voter; False when no voter may be removed.
+        """Free a slot for a voter; False when no voter may be removed.
 
         The disk of a removed voter may still exist, so its removal is a
         change of its own: every majority of the old voters then overlaps
@@ -1429,20 +1453,23 @@
         return True
 
     def _is_unresponsive(self, member: Member) -> bool:
-        silent_s = self._clock.now() - self._acked_by_peer.get(member.id, 0.0)
-        return member.id != self._me.id and silent_s > VOTER_TIMEOUT_S
+        silent_s = self._clock.now() - self._acked_at_by_peer.get(
+            member.id, 0.0
+        )
+        return member.id != self._me.id and silent_s > UNRESPONSIVE_AFTER_S
 
     def _silent_voter(self) -> Member | None:
         silent = filter(self._is_unresponsive, self.config.voters)
         return next(silent, None)
 
     def _overrepresented_voter(self, member: Member) -> Member | None:
-        """Return a voter to replace for a better spread over the domains.
+        """Return a voter to replace so that voters spread more evenly.
 
-        It is of the domain with most voters, which has at least two more
-        than the domain of *member*. With an even spread, the loss of a whole
-        domain leaves a majority wherever that is possible. Each replacement
-        makes the spread more even, so replacements end.
+        The voter is in the domain with the most voters, which has at least
+        two more than the domain of *member*. With an even spread over the
+        domains, the loss of a whole domain leaves a majority wherever that
+        is possible. Each replacement makes the spread more even, so
+        replacements end.
         """
         counts = collections.Counter(v.domain for v in self.config.voters)
         others = [v for v in self.config.voters if v.id != self._me.id]
@@ -1461,7 +1488,7 @@
                 disk again, and the replica that replaces it can't be added
                 while this wait lasts.
         """
-        while self._match_by_peer.get(member.id, 0) < self.commit:
+        while self._match_index_by_peer.get(member.id, 0) < self.commit:
             if not self.is_leader:
                 raise self.not_leader()
             if self._is_unresponsive(member):
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -167,7 +167,7 @@
         """
         tracked.losses += 1
         info = self._session.digest.target_by_id.get(target)
-        if info is None or not self._session.notices.is_gone(info):
+        if info is None or not self._session.notices.is_marked_leaving(info):
             self._report_end(
                 tracked, incarnation or target, quarantine.RunEnd.LOST
             )
