--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -125,14 +125,14 @@
             if not may_load:
                 return Wait(False)
             return self._load(demand, wanted, now, float("inf")) or Wait(False)
-        cost_s, _, there = best
+        cost_s, _, cheapest = best
         if may_load and self._settings.spread and cost_s > MIN_SPREAD_COST_S:
-            further = self._additional_copy(
+            alternative = self._additional_copy(
                 demand, resident, wanted, now, cost_s
             )
-            if further is not None:
-                return further
-        return Run(there.info.id)
+            if alternative is not None:
+                return alternative
+        return Run(cheapest.info.id)
 
     def _run_anywhere(self, demand: PlacementDemand, now: float) -> Decision:
         """Decide for a request to the base model, which needs no adapter."""
@@ -172,8 +172,8 @@
         ]
         for record, slot in loading:
             left_s = max(0.0, slot.ready_at - now)
-            there_s = self._policy.run_cost_s(record, demand, now)
-            if left_s + there_s < limit_s:
+            run_s = self._policy.run_cost_s(record, demand, now)
+            if left_s + run_s < limit_s:
                 return Wait(True)
         if loading:
             return None
@@ -213,8 +213,8 @@
     ) -> collections.abc.Iterator[EngineRecord]:
         """Yield the least loaded engines and those with a copy."""
         ordered = self._least_loaded_first(demand, now)
-        near = ordered[:MAX_LOAD_CANDIDATES]
-        yield from near
+        least_loaded = ordered[:MAX_LOAD_CANDIDATES]
+        yield from least_loaded
         for record in ordered[MAX_LOAD_CANDIDATES:]:
             if record.has_copy(demand.name):
                 yield record
@@ -228,9 +228,9 @@
         at most MAX_LOAD_CANDIDATES engines.
         """
         at, ordered = self._sorted_by_pool.get(demand.pool, (0.0, []))
-        there = self._record_by_target
+        records = self._record_by_target
         if ordered and now - at <= MAX_SORT_AGE_S:
-            if all(there.get(h.info.id) is h for h in ordered):
+            if all(records.get(r.info.id) is r for r in ordered):
                 return ordered
         ordered = [
             record
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -32,7 +32,7 @@
 FENCES_PER_TERM = 1_000
 
 State = _holding.SlotState
-Order = targets.OrderOutcome
+Outcome = targets.OrderOutcome
 
 
 class OrderGate(abc.ABC):
@@ -79,9 +79,9 @@
             16 random workloads with restarts it overfilled an engine. A
             higher fencing number rejects it.
         gate: checked as each order is written.
-        changed: called when a load or the engine's state was confirmed.
-        started: called with the start time in milliseconds when the engine
-            reports another start; the orders and the record are then
+        on_changed: called when a load or the engine's state was confirmed.
+        on_new_start: called with the start time in milliseconds when the
+            engine reports another start; the orders and the record are then
             obsolete.
     """
 
@@ -94,30 +94,30 @@
         gate: OrderGate,
         store: StoreLoadLock,
         metrics: observe.Metrics,
-        changed: collections.abc.Callable[[], None],
+        on_changed: collections.abc.Callable[[], None],
         clock: wire.Clock,
-        started: collections.abc.Callable[[int], None] = lambda _: None,
+        on_new_start: collections.abc.Callable[[int], None] = lambda _: None,
         earlier_starts: int = 0,
     ) -> None:
         self.record = record
         self._start_time_ms = targets.Incarnation.of(
             record.info.id
         ).start_time_ms
-        self._started = started
+        self._on_new_start = on_new_start
         self._spec = spec
         self._engine = engine
         self._term = term
-        self._starts = earlier_starts
+        self._earlier_starts = earlier_starts
         self._gate = gate
         self._store = store
         self._metrics = metrics
-        self._changed = changed
+        self._on_changed = on_changed
         self._clock = clock
         self._lock = asyncio.Lock()
         self._ordered_at = 0.0
-        self._asked_at = 0.0
+        self._polled_at = 0.0
         self._settling: asyncio.Task | None = None
-        self._loads: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()
         self._stopped = False
 
     def stop(self) -> None:
@@ -125,7 +125,7 @@
         self._stopped = True
         if self._settling is not None:
             self._settling.cancel()
-        for task in self._loads:
+        for task in self._tasks:
             task.cancel()
 
     def reconcile(self) -> None:
@@ -139,18 +139,18 @@
             self.settle()
             return
         now = self._clock.now()
-        since_s = now - self._asked_at
+        since_s = now - self._polled_at
         if (
             self.record.may_have_unreported_runs(now)
             and since_s > REPORT_LAG_S
         ):
-            self._asked_at = now
-            self._run(self._poll_runs)
+            self._polled_at = now
+            self._start_task(self._poll_runs)
 
     async def _poll_runs(self) -> None:
         with contextlib.suppress(wire.ServingError):
             self._compare_runs(await self._report())
-            self._changed()
+            self._on_changed()
 
     async def _report(self) -> targets.AdapterReport:
         """Return a report of this incarnation of the engine.
@@ -165,7 +165,7 @@
         if self._start_time_ms is None:
             self._start_time_ms = report.start_time_ms
         if report.start_time_ms not in (None, self._start_time_ms):
-            self._started(report.start_time_ms)
+            self._on_new_start(report.start_time_ms)
             raise wire.TargetRestartedError(
                 "The engine was restarted. Wait until its state is known."
             )
@@ -200,18 +200,20 @@
                 await self._clock.sleep(retry_s)
                 retry_s = min(retry_s * 2, MAX_SETTLE_RETRY_S)
                 continue
-            recent = self._clock.now() - self._ordered_at < REPORT_LAG_S
-            if report.busy or recent:
+            ordered_recently = (
+                self._clock.now() - self._ordered_at < REPORT_LAG_S
+            )
+            if report.busy or ordered_recently:
                 await self._clock.sleep(SETTLE_RETRY_S)
                 continue
             if self.record.shows_new_start(report):
                 self._log("new_start", sequence=report.sequence)
                 self.record.reset()
-                self._starts += 1
+                self._earlier_starts += 1
             if not report.models and await self._load_model(report):
                 continue
             self.record.apply_report(report, self._clock.now())
-            self._asked_at = self._clock.now()
+            self._polled_at = self._clock.now()
             self._compare_runs(report)
             self._log(
                 "settled",
@@ -220,13 +222,13 @@
                 pending=len(report.pending),
             )
             self._confirm_pending()
-            self._changed()
+            self._on_changed()
             return
 
     def _confirm_pending(self) -> None:
         for name, slot in self.record.slot_by_name.items():
             if slot.state is State.DOUBTFUL:
-                self._run(self._confirm, name, slot)
+                self._start_task(self._confirm, name, slot)
 
     async def _load_model(self, report: targets.AdapterReport) -> bool:
         """Load a base model into an engine without one.
@@ -252,10 +254,10 @@
         order = self._order((model.name, ""), None, None)
         outcome = await self._send(self._engine.load, order)
         self._log("load_model", model=model.name, outcome=str(outcome))
-        gives_up_at = (
+        timeout_at = (
             self._clock.now() + MODEL_LOAD_TIMEOUT_FACTOR * model.load_s
         )
-        while outcome is not None and self._clock.now() < gives_up_at:
+        while outcome is not None and self._clock.now() < timeout_at:
             await self._clock.sleep(MODEL_POLL_S)
             try:
                 report = await self._report()
@@ -289,17 +291,17 @@
             sequence=record.sequence,
             in_transit=record.in_transit(),
         )
-        self._run(self._load, name, slot, victim)
+        self._start_task(self._load, name, slot, victim)
 
-    def _run(
+    def _start_task(
         self,
         work: collections.abc.Callable[..., collections.abc.Coroutine],
         *args: object,
     ) -> None:
         timed = observe.timed(self._metrics, "order", work, *args)
         task = asyncio.create_task(timed)
-        self._loads.add(task)
-        task.add_done_callback(self._loads.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _load(
         self,
@@ -313,9 +315,9 @@
             if not self._still_planned(name, slot):
                 return
             if victim is not None:
-                out = self._order(victim, None, self.record.sequence)
+                unload_order = self._order(victim, None, self.record.sequence)
                 if not self._apply_outcome(
-                    await self._send(self._engine.unload, out)
+                    await self._send(self._engine.unload, unload_order)
                 ):
                     return
                 if not self._still_planned(name, slot):
@@ -333,12 +335,12 @@
         holds = self.record.slot_by_name.get(name) is slot
         return self.record.known and holds
 
-    def _apply_outcome(self, outcome: Order | None) -> bool:
+    def _apply_outcome(self, outcome: Outcome | None) -> bool:
         """Apply an order's outcome; reconcile unless it was accepted."""
-        if outcome in (Order.STARTED, Order.HOLDS):
+        if outcome in (Outcome.STARTED, Outcome.HOLDS):
             self.record.sequence += 1
             return True
-        if outcome is Order.FENCED:
+        if outcome is Outcome.FENCED:
             self.record.fenced = True
         self._log("not_accepted", outcome=str(outcome))
         self.settle()
@@ -367,13 +369,13 @@
                 lost += 1
                 if lost <= MAX_LOST_CONFIRMS:
                     continue
-            if outcome is Order.HOLDS:
+            if outcome is Outcome.HOLDS:
                 slot.state = State.READY
                 self.record.remember_copy(name)
                 self._log("loaded", adapter="/".join(name))
-                self._changed()
+                self._on_changed()
                 return
-            if outcome is not Order.STARTED:
+            if outcome is not Outcome.STARTED:
                 self._log("not_confirmed", outcome=str(outcome))
                 self.settle()
                 return
@@ -399,10 +401,10 @@
     async def _send(
         self,
         send: collections.abc.Callable[
-            [targets.EngineOrder], collections.abc.Awaitable[Order]
+            [targets.EngineOrder], collections.abc.Awaitable[Outcome]
         ],
         order: targets.EngineOrder,
-    ) -> Order | None:
+    ) -> Outcome | None:
         """Send an order, resending it if lost; None if it got no answer.
 
         A resent order can't be executed twice: the first execution advances
@@ -426,7 +428,7 @@
     @property
     def _fence(self) -> int:
         """The fencing number of orders to this incarnation."""
-        starts = min(self._starts, FENCES_PER_TERM - 1)
+        starts = min(self._earlier_starts, FENCES_PER_TERM - 1)
         return self._term * FENCES_PER_TERM + starts
 
     def _leads(self) -> bool:
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -18,7 +18,7 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
-WATCH_S = 0.25
+WATCH_INTERVAL_S = 0.25
 UNREACHABLE_AFTER_S = 2.0
 
 
@@ -243,18 +243,18 @@
             )
         if len(self._queue) < self._settings.max_queue:
             return
-        full = wire.OverloadError(
+        queue_full = wire.OverloadError(
             f"Engine {self.info.id} has {len(self._queue)} requests waiting.",
             retry_after_s=expected_s,
         )
         longest = self._queue.longest_member()
         own = self._queue.waiting_of(job.request.payer)
         if own >= self._queue.waiting_of(longest):
-            raise full
+            raise queue_full
         dropped = self._queue.newest_of(longest)
         self._queue.remove(dropped)
         if not dropped.ready.done():
-            dropped.ready.set_exception(full)
+            dropped.ready.set_exception(queue_full)
 
     def _expected_wait_s(self, job: _jobs.Job) -> float:
         """Estimate the wait from the loads that come first.
@@ -270,10 +270,10 @@
                 names = names_by_member.setdefault(waiting.owner, set())
                 names.add(waiting.adapter)
         own = len(names_by_member[job.owner])
-        before = sum(
+        load_count = sum(
             min(own, len(names)) for names in names_by_member.values()
         )
-        return self._state.load_s * before
+        return self._state.load_s * load_count
 
     def _undo_dispatch(self, job: _jobs.Job) -> None:
         """Undo the dispatch of a job whose caller no longer waits.
@@ -336,7 +336,7 @@
         chunks = wire.monitored_stream(
             self._engine.run(self._order(), run),
             lambda: self._abandon_reason(job),
-            WATCH_S,
+            WATCH_INTERVAL_S,
         )
         try:
             async for chunk in chunks:
@@ -355,7 +355,9 @@
             stream.ended = error.ran is not wire.RunStatus.UNKNOWN
             if error.ran is wire.RunStatus.NOT_RUN:
                 # The adapter may not be resident; the next report shows it.
-                self._residents.uncertain(job.adapter, self._clock.now())
+                self._residents.mark_unconfirmed(
+                    job.adapter, self._clock.now()
+                )
             raise
         finally:
             await chunks.aclose()
--- a/libs/placement/src/bergamotsail/placement/_fair_queue.py
+++ b/libs/placement/src/bergamotsail/placement/_fair_queue.py
@@ -19,8 +19,8 @@
         self._jobs_by_member: dict[str, list[_jobs.Job]] = (
             collections.defaultdict(list)
         )
-        self._time_by_member: dict[str, float] = {}
-        self._now = 0.0
+        self._virtual_time_by_member: dict[str, float] = {}
+        self._virtual_now = 0.0
 
     def __len__(self) -> int:
         return sum(len(jobs) for jobs in self._jobs_by_member.values())
@@ -48,8 +48,10 @@
         """Add a job."""
         member = job.request.payer
         if not self._jobs_by_member[member]:
-            behind = self._time_by_member.get(member, 0.0)
-            self._time_by_member[member] = max(behind, self._now)
+            previous = self._virtual_time_by_member.get(member, 0.0)
+            self._virtual_time_by_member[member] = max(
+                previous, self._virtual_now
+            )
         self._jobs_by_member[member].append(job)
 
     def remove(self, job: _jobs.Job) -> None:
@@ -65,15 +67,15 @@
     ) -> _jobs.Job | None:
         """Remove and return the next job that can run, if any."""
         members = [m for m, jobs in self._jobs_by_member.items() if jobs]
-        members.sort(key=lambda member: self._time_by_member[member])
+        members.sort(key=lambda member: self._virtual_time_by_member[member])
         for member in members:
-            able = [j for j in self._jobs_by_member[member] if can_run(j)]
-            if not able:
+            runnable = [j for j in self._jobs_by_member[member] if can_run(j)]
+            if not runnable:
                 continue
-            job = max(able, key=lambda j: (j.class_weight, -j.queued_at))
+            job = max(runnable, key=lambda j: (j.class_weight, -j.queued_at))
             self._jobs_by_member[member].remove(job)
-            self._now = self._time_by_member[member]
+            self._virtual_now = self._virtual_time_by_member[member]
             weight = weight_by_member.get(member, 1.0)
-            self._time_by_member[member] += 1.0 / weight
+            self._virtual_time_by_member[member] += 1.0 / weight
             return job
         return None
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -173,21 +173,21 @@
         """Replace the slots by a report that reflects all accepted orders."""
         self.sequence = report.sequence
         self.models = set(report.models)
-        found: dict[AdapterName, Slot] = {}
+        slot_by_name: dict[AdapterName, Slot] = {}
         for held in report.adapters:
             name = (held.model, held.adapter)
             slot = Slot(
                 held.version, SlotState.READY, used_at=now, reported=True
             )
-            found[name] = slot
+            slot_by_name[name] = slot
             self.remember_copy(name)
         for held in report.pending:
             name = (held.model, held.adapter)
-            found[name] = Slot(held.version, SlotState.DOUBTFUL)
+            slot_by_name[name] = Slot(held.version, SlotState.DOUBTFUL)
         for grant in self.grant_by_request.values():
-            if grant.name in found:
-                found[grant.name].uses += 1
-        self.slot_by_name = found
+            if grant.name in slot_by_name:
+                slot_by_name[grant.name].uses += 1
+        self.slot_by_name = slot_by_name
         self.known = True
 
     def shows_new_start(self, report: targets.AdapterReport) -> bool:
@@ -200,9 +200,9 @@
         """
         if report.sequence >= self.sequence:
             return False
-        there = {(held.model, held.adapter) for held in report.adapters}
+        reported = {(held.model, held.adapter) for held in report.adapters}
         return not any(
-            slot.state is SlotState.READY and name in there
+            slot.state is SlotState.READY and name in reported
             for name, slot in self.slot_by_name.items()
         )
 
@@ -267,17 +267,17 @@
         priority: int = 0,
     ) -> int:
         """Add a granted request and return its tokens to be prefilled."""
-        fresh = self.new_tokens(grant.name, parts, prompt_tokens)
+        new_tokens = self.new_tokens(grant.name, parts, prompt_tokens)
         key = (grant.boot, grant.request)
-        self.reading.add(key, fresh, priority, grant.granted_at)
+        self.reading.add(key, new_tokens, priority, grant.granted_at)
         for part, _ in parts:
-            kept = (grant.name, part)
-            self._prefixes[kept] = None
-            self._prefixes.move_to_end(kept)
+            prefix = (grant.name, part)
+            self._prefixes[prefix] = None
+            self._prefixes.move_to_end(prefix)
         while len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
         self.restore(grant)
-        return fresh
+        return new_tokens
 
     def restore(self, grant: Grant) -> None:
         """Add a request that a daemon reports as running.
--- a/libs/placement/src/bergamotsail/placement/_loads.py
+++ b/libs/placement/src/bergamotsail/placement/_loads.py
@@ -42,7 +42,7 @@
         dispatch: collections.abc.Callable[[], None],
     ) -> None:
         self._state = state
-        self._order = make_order
+        self._make_order = make_order
         self._may_start = may_start
         self._dispatch = dispatch
         settings = state.settings
@@ -91,9 +91,9 @@
         now = self._state.clock.now()
         jobs_by_name: dict[str, list[_jobs.Job]] = {}
         for job in self._state.queue:
-            known = self._state.residents.by_name.get(job.adapter)
-            held_back = self._retry_at_by_name.get(job.adapter, 0.0) > now
-            if known is None and not held_back:
+            resident = self._state.residents.by_name.get(job.adapter)
+            backing_off = self._retry_at_by_name.get(job.adapter, 0.0) > now
+            if resident is None and not backing_off:
                 jobs_by_name.setdefault(job.adapter, []).append(job)
         return [
             self._candidate(name, jobs[0].owner, jobs)
@@ -136,13 +136,13 @@
         if not ready:
             return False
         asked_at = self._state.clock.now()
-        turn = await self._take_turn(ready)
-        if turn.turn is None:
+        reply = await self._take_turn(ready)
+        if reply.turn is None:
             return False
         try:
-            return await self._load_on_turn(turn.member, asked_at)
+            return await self._load_on_turn(reply.member, asked_at)
         finally:
-            await self._end_turn(turn.turn)
+            await self._end_turn(reply.turn)
 
     def _best_by_member(
         self, candidates: list[_policy.Candidate]
@@ -187,7 +187,7 @@
 
     def _evictable(self, wanted: _policy.Candidate) -> list[_policy.Candidate]:
         now = self._state.clock.now()
-        free = [
+        unpinned = [
             resident.name
             for resident in self._state.residents.by_name.values()
             if resident.confirmed
@@ -195,11 +195,13 @@
             and now - resident.changed_at
             >= self._state.settings.min_residence_s
         ]
-        drained = [
-            n for n in free if self._state.residents.by_name[n].draining
+        draining = [
+            n for n in unpinned if self._state.residents.by_name[n].draining
+        ]
+        candidates = [
+            self._resident_candidate(name) for name in draining or unpinned
         ]
-        found = [self._resident_candidate(name) for name in drained or free]
-        return [c for c in found if self._may_displace(wanted, c)]
+        return [c for c in candidates if self._may_displace(wanted, c)]
 
     def _resident_candidate(self, name: str) -> _policy.Candidate:
         jobs = [job for job in self._state.queue if job.adapter == name]
@@ -313,12 +315,14 @@
         )
         await self._state.steps.reach(wire.Step.EVICT, wire.Phase.BEFORE)
         try:
-            await self._state.engine.unload(self._order(), name)
+            await self._state.engine.unload(self._make_order(), name)
         except (wire.NotSentError, wire.StaleFencingTokenError):
             resident.confirmed = True
             raise
         except wire.ServingError:
-            self._state.residents.uncertain(name, self._state.clock.now())
+            self._state.residents.mark_unconfirmed(
+                name, self._state.clock.now()
+            )
             raise
         await self._state.steps.reach(wire.Step.EVICT, wire.Phase.AFTER)
         self._state.residents.unloaded(name, self._state.clock.now())
@@ -335,9 +339,11 @@
         self._state.residents.loading(name, started_at)
         await self._state.steps.reach(wire.Step.LOAD, wire.Phase.BEFORE)
         try:
-            await self._state.engine.load(self._order(), name, weights)
+            await self._state.engine.load(self._make_order(), name, weights)
         except wire.PeerLostError:
-            self._state.residents.uncertain(name, self._state.clock.now())
+            self._state.residents.mark_unconfirmed(
+                name, self._state.clock.now()
+            )
             raise
         except wire.ServingError as error:
             self._state.residents.not_loaded(name, self._state.clock.now())
--- a/libs/placement/src/bergamotsail/placement/_owners.py
+++ b/libs/placement/src/bergamotsail/placement/_owners.py
@@ -43,7 +43,7 @@
         self._metrics = metrics
         self._clock = clock
         self._steps = steps
-        self._closing: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()
         self._releasing: dict[str, asyncio.Task] = {}
 
     async def __aenter__(self) -> "Owners":
@@ -53,7 +53,7 @@
         for owner in list(self.by_target.values()):
             await owner.__aexit__(None, None, None)
         self.by_target.clear()
-        pending = [*self._closing, *self._releasing.values()]
+        pending = [*self._tasks, *self._releasing.values()]
         for task in pending:
             task.cancel()
         await asyncio.gather(*pending, return_exceptions=True)
@@ -107,9 +107,9 @@
             if ownership.owner == self._session.boot:
                 self._start(ownership)
 
-    def hand_over(self, names: collections.abc.Iterable[str]) -> None:
+    def hand_over(self, target_ids: collections.abc.Iterable[str]) -> None:
         """Start to release targets; running streams continue."""
-        for target in names:
+        for target in target_ids:
             if target in self.by_target and target not in self._releasing:
                 task = asyncio.create_task(self._release(target))
                 self._releasing[target] = task
@@ -138,7 +138,7 @@
             self._steps,
         )
         self.by_target[ownership.target] = owner
-        self._keep(owner.__aenter__())
+        self._start_task(owner.__aenter__())
         logging.info(
             "place: Acquired ownership of %s with epoch %d.",
             info.id,
@@ -147,13 +147,13 @@
 
     def _stop(self, target: str) -> None:
         owner = self.by_target.pop(target)
-        self._keep(owner.__aexit__(None, None, None))
+        self._start_task(owner.__aexit__(None, None, None))
         logging.info("place: Released ownership of %s.", target)
 
-    def _keep(self, work: collections.abc.Coroutine) -> None:
+    def _start_task(self, work: collections.abc.Coroutine) -> None:
         task = asyncio.create_task(work)
-        self._closing.add(task)
-        task.add_done_callback(self._closing.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _release(self, target: str) -> None:
         owner = self.by_target[target]
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -133,17 +133,17 @@
             self._record_by_target, policy, settings, self._is_current
         )
         self._waiters: list[_waiting.Waiter] = []
-        self._newest_seen_at: dict[_holding.AdapterName, tuple[int, float]] = (
-            {}
-        )
+        self._newest_version_by_name: dict[
+            _holding.AdapterName, tuple[int, float]
+        ] = {}
         self._store = _engine_orders.StoreLoadLock()
         self._background = wire.BackgroundTasks()
         self._removed_targets: set[str] = set()
-        self._new_start: collections.abc.Callable[[str, int], None] | None = (
-            None
-        )
+        self._new_start_callback: (
+            collections.abc.Callable[[str, int], None] | None
+        ) = None
         # How many incarnations of each engine this term has managed so far.
-        self._incarnations_by_name: collections.Counter[str] = (
+        self._incarnation_count_by_name: collections.Counter[str] = (
             collections.Counter()
         )
         self._pace_by_pool: dict[str, _pace.PoolPace] = {}
@@ -273,7 +273,7 @@
 
     def _log_refusal(self, waiter: _waiting.Waiter) -> None:
         """Log a refusal with the state of the engines at that time."""
-        where = {
+        state_by_target = {
             target: str(record.slot_by_name[waiter.name].state)
             for target, record in self._record_by_target.items()
             if waiter.name in record.slot_by_name
@@ -286,7 +286,7 @@
             adapter="/".join(waiter.name),
             waited_s=round(self._clock.now() - waiter.arrived_at, 4),
             waiting=len(self._waiters),
-            held_at=where,
+            held_at=state_by_target,
             usable=len(usable),
             settled=sum(record.known for record in usable),
             avoid=waiter.request.avoid or None,
@@ -373,9 +373,9 @@
         term, with its prompt as unread, and the estimated backlog of the
         engine would grow without bound.
         """
-        before = self._requests_of(boot).get(request)
-        if before is not None and before != target:
-            self._release(boot, request, before, now)
+        previous = self._requests_of(boot).get(request)
+        if previous is not None and previous != target:
+            self._release(boot, request, previous, now)
         self._requests_of(boot)[request] = target
 
     def _release(
@@ -417,11 +417,11 @@
     def on_new_start(
         self, callback: collections.abc.Callable[[str, int], None]
     ) -> None:
-        self._new_start = callback
+        self._new_start_callback = callback
 
     def _report_new_start(self, target: str, start_time_ms: int) -> None:
-        if self._new_start is not None:
-            self._new_start(target, start_time_ms)
+        if self._new_start_callback is not None:
+            self._new_start_callback(target, start_time_ms)
 
     def _add_target(
         self, info: control.TargetInfo, spec: catalogue.EngineSpec
@@ -446,9 +446,9 @@
             self._schedule_soon,
             self._clock,
             functools.partial(self._report_new_start, info.id),
-            self._incarnations_by_name[name],
+            self._incarnation_count_by_name[name],
         )
-        self._incarnations_by_name[name] += 1
+        self._incarnation_count_by_name[name] += 1
         self._orders_by_target[info.id] = orders
         self._record_by_target[info.id] = orders.record
         if self._copy_registry is not None:
@@ -483,7 +483,7 @@
         self._record_by_target.clear()
         self._target_by_request.clear()
         self._blocked.clear()
-        self._incarnations_by_name.clear()
+        self._incarnation_count_by_name.clear()
         self._fail_waiters()
 
     async def _tick(self) -> None:
@@ -751,10 +751,10 @@
         wanted = self._wanted_version(name)
         if wanted is None or (slot.version or 0) >= wanted:
             return False
-        version, named_at = self._newest_seen_at.get(name, (0, 0.0))
+        version, named_at = self._newest_version_by_name.get(name, (0, 0.0))
         if version != wanted:
             named_at = now
-            self._newest_seen_at[name] = (wanted, now)
+            self._newest_version_by_name[name] = (wanted, now)
         return now - named_at > OLD_VERSION_S
 
     def _refresh_versions(self, now: float) -> None:
--- a/libs/placement/src/bergamotsail/placement/_residents.py
+++ b/libs/placement/src/bergamotsail/placement/_residents.py
@@ -48,7 +48,7 @@
         self.incarnation: str | None = None
         self._taken_over_at = now
         self._past_incarnations: set[str] = set()
-        self._gone_at: dict[str, float] = {}
+        self._unloaded_at: dict[str, float] = {}
 
     def usable(self, name: str) -> bool:
         """Whether a run may be sent to this adapter version."""
@@ -91,19 +91,19 @@
     def loaded(self, name: str, now: float) -> None:
         """Record that the engine confirmed a load."""
         self.by_name[name] = Resident(name, True, now)
-        self._gone_at.pop(name, None)
+        self._unloaded_at.pop(name, None)
 
     def not_loaded(self, name: str, now: float) -> None:
         """Record that the engine reported a failed load."""
         self.by_name.pop(name, None)
-        self._gone_at[name] = now
+        self._unloaded_at[name] = now
 
     def unloaded(self, name: str, now: float) -> None:
         """Record that the engine confirmed an eviction."""
         self.by_name.pop(name, None)
-        self._gone_at[name] = now
+        self._unloaded_at[name] = now
 
-    def uncertain(self, name: str, now: float) -> None:
+    def mark_unconfirmed(self, name: str, now: float) -> None:
         """Mark an adapter as unconfirmed until a later report shows it."""
         resident = self.by_name.get(name)
         if resident is not None:
@@ -117,7 +117,7 @@
             self._taken_over_at = now
         self.incarnation = incarnation
         self.by_name.clear()
-        self._gone_at.clear()
+        self._unloaded_at.clear()
 
     def apply_report(
         self, report: targets.EngineReport, as_of: float, now: float
@@ -144,7 +144,7 @@
     ) -> None:
         resident = self.by_name.get(name)
         if resident is None:
-            if as_of <= self._gone_at.get(name, float("-inf")):
+            if as_of <= self._unloaded_at.get(name, float("-inf")):
                 return
             resident = Resident(name, True, as_of)
             resident.doubt_since = self._taken_over_at
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -69,8 +69,8 @@
         now = self._clock.now()
         alone = self._tenure.alone_due(now)
         due = alone or self._tenure.due(now)
-        free = self._note_task is None or self._note_task.done()
-        if due and free and now >= self._retry_at:
+        idle = self._note_task is None or self._note_task.done()
+        if due and idle and now >= self._retry_at:
             work = self._note(self._term, alone)
             self._note_task = asyncio.create_task(work)
 
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -103,11 +103,11 @@
         self.fence = fence
         # If this process is the latest holder, no other process has given
         # orders since, because a holder is recorded before its first order.
-        last = bool(former) and former[-1] == name
-        self._noted = last and not self._quiet_s
+        is_latest = bool(former) and former[-1] == name
+        self._noted = is_latest and not self._quiet_s
         self._noted_at = now
-        self._alone = last and len(former) == 1
-        self._is_former_holder = name in former and not last
+        self._alone = is_latest and len(former) == 1
+        self._is_former_holder = name in former and not is_latest
         self._quiet_until = now + self._quiet_s
 
     def due(self, now: float) -> bool:
