--- a/libs/catalogue/src/bergamotsail/catalogue/_entries.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_entries.py
@@ -253,37 +253,37 @@
 
 
 def _problems(value: Value) -> list[str]:
-    found: list[str] = []
+    problems: list[str] = []
     if isinstance(value, Member):
         if not re.fullmatch(r"[0-9a-f]{64}", value.token_sha256):
-            found.append("token_sha256 must be 64 lowercase hex digits.")
+            problems.append("token_sha256 must be 64 lowercase hex digits.")
         if not value.weight > 0:
-            found.append("weight must be greater than 0.")
+            problems.append("weight must be greater than 0.")
         if not 0 <= value.retry_budget <= 1:
-            found.append("retry_budget must be from 0 to 1.")
+            problems.append("retry_budget must be from 0 to 1.")
     if isinstance(value, Adapter):
         if value.default_version not in value.versions:
-            found.append("default_version must be one of versions.")
-        found.extend(
+            problems.append("default_version must be one of versions.")
+        problems.extend(
             f"{version!r} is not a valid version; use letters, digits, dots."
             for version in value.versions
             if not ID_PATTERN.fullmatch(version)
         )
     if isinstance(value, (Member, Adapter, Service)):
-        found.extend(_limit_problems(value.limits))
+        problems.extend(_limit_problems(value.limits))
     if isinstance(value, Quarantine) and value.ends < 1:
-        found.append("ends must be 1 or more.")
-    return found
+        problems.append("ends must be 1 or more.")
+    return problems
 
 
 def _limit_problems(limits: Limits) -> list[str]:
-    found: list[str] = []
+    problems: list[str] = []
     if limits.concurrency is not None and limits.concurrency < 1:
-        found.append("concurrency must be 1 or more, or null.")
+        problems.append("concurrency must be 1 or more, or null.")
     if limits.rate is not None and not limits.rate > 0:
-        found.append("rate must be greater than 0, or null.")
+        problems.append("rate must be greater than 0, or null.")
     if limits.slot_share is not None and not 0 < limits.slot_share <= 1:
-        found.append(
+        problems.append(
             "slot_share must be greater than 0 and at most 1, or null."
         )
-    return found
+    return problems
--- a/libs/catalogue/src/bergamotsail/catalogue/_machine.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_machine.py
@@ -129,13 +129,13 @@
         """
         if index < self._last_dropped_index:
             return None
-        found = []
+        effects = []
         for effect in reversed(self._effect_by_index.values()):
             if effect.index <= index:
                 break
-            found.append(effect)
-        found.reverse()
-        return found
+            effects.append(effect)
+        effects.reverse()
+        return effects
 
     def find_claim(self, member: str, key: str) -> _commands.ClaimReply | None:
         """Return the state of a member's key, or None if unclaimed."""
@@ -145,9 +145,9 @@
         return _claim_reply(claimed)
 
     def _put(self, index: int, put: _commands.Put) -> _commands.PutReply:
-        known = self._operation_by_id.get(put.operation_id)
-        if known is not None:
-            return known
+        first_reply = self._operation_by_id.get(put.operation_id)
+        if first_reply is not None:
+            return first_reply
         reply = self._put_once(index, put)
         self._operation_by_id[put.operation_id] = reply
         while len(self._operation_by_id) > MAX_OPERATIONS:
@@ -191,8 +191,8 @@
         except wire.ServingError as error:
             return error.message
         if isinstance(value, _entries.Member):
-            holder = self.view.member_by_token.get(value.token_sha256)
-            if holder not in (None, put.id):
+            token_owner = self.view.member_by_token.get(value.token_sha256)
+            if token_owner not in (None, put.id):
                 return "Another member has this token. Choose another."
             return None
         if isinstance(value, (_entries.Pool, _entries.Quarantine)):
@@ -326,8 +326,8 @@
         for target in note.gone:
             self.copies_by_target.pop(target, None)
         for copies in note.copies:
-            known = self.copies_by_target.get(copies.target, ())
-            older = [name for name in known if name not in copies.names]
+            recorded = self.copies_by_target.get(copies.target, ())
+            older = [name for name in recorded if name not in copies.names]
             names = (*older, *copies.names)[-MAX_COPIES_PER_ENGINE:]
             self.copies_by_target[copies.target] = names
 
@@ -369,10 +369,10 @@
         No other entry is validated against or looked up through a versioned
         one, so a view that skips the older effect ends in the same state.
         """
-        older = self._index_by_versioned_key.get(key)
+        superseded = self._index_by_versioned_key.get(key)
         self._index_by_versioned_key[key] = index
-        if older is not None:
-            self._effect_by_index.pop(older, None)
+        if superseded is not None:
+            self._effect_by_index.pop(superseded, None)
 
     def snapshot(self) -> collections.abc.Iterator[bytes]:
         effects = self.view.effects()
@@ -431,10 +431,10 @@
     claims: list[_StoredClaim],
     operations: list[tuple[str, _commands.PutReply]],
     changes: list[_commands.Change],
-    first: _SnapshotLine,
+    header: _SnapshotLine,
     copies_by_target: dict[str, tuple[str, ...]],
 ) -> collections.abc.Iterator[bytes]:
-    yield wire.encode(first)
+    yield wire.encode(header)
     for effect in effects:
         yield wire.encode(_SnapshotLine(effect=effect))
     for claimed in claims:
--- a/libs/catalogue/src/bergamotsail/catalogue/_routes.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_routes.py
@@ -163,48 +163,48 @@
 
 
 def _problems(table: RouteTable) -> list[str]:
-    found: list[str] = []
+    problems: list[str] = []
     pools = {pool.name for pool in table.pools}
     if len(pools) < len(table.pools):
-        found.append("Pool names must be unique.")
+        problems.append("Pool names must be unique.")
     if table.version < 1:
-        found.append("version must be 1 or more.")
+        problems.append("version must be 1 or more.")
     count_by_match = collections.Counter(
         (r.host, r.prefix) for r in table.routes
     )
-    found.extend(
+    problems.extend(
         f"Several routes match {host}{prefix}; remove all but one."
         for (host, prefix), count in count_by_match.items()
         if count > 1
     )
     for route in table.routes:
-        found.extend(
+        problems.extend(
             f"Route {route.name}: {problem}"
             for problem in _route_problems(route, pools)
         )
-    return found
+    return problems
 
 
 def _route_problems(route: Route, pools: set[str]) -> list[str]:
-    found: list[str] = []
+    problems: list[str] = []
     if not route.host:
-        found.append("host must not be empty.")
+        problems.append("host must not be empty.")
     if not (route.prefix.startswith(SLASH) and route.prefix.endswith(SLASH)):
-        found.append("prefix must begin and end with a slash.")
+        problems.append("prefix must begin and end with a slash.")
     if not route.timeout_s > 0:
-        found.append("timeout must be greater than 0.")
+        problems.append("timeout must be greater than 0.")
     if route.attempts < 1:
-        found.append("attempts must be 1 or more.")
-    found.extend(
+        problems.append("attempts must be 1 or more.")
+    problems.extend(
         f"pool {split.pool} does not exist; add it or use another."
         for split in route.splits
         if split.pool not in pools
     )
     if any(split.weight < 0 for split in route.splits):
-        found.append("weights must not be negative.")
+        problems.append("weights must not be negative.")
     if not sum(split.weight for split in route.splits) > 0:
-        found.append("the sum of the weights must be greater than 0.")
-    return found
+        problems.append("the sum of the weights must be greater than 0.")
+    return problems
 
 
 class RouteIndex:
--- a/libs/catalogue/src/bergamotsail/catalogue/_view.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_view.py
@@ -213,13 +213,13 @@
     def _apply_entry(self, effect: Effect) -> None:
         text = effect.text
         by_id = self.by_kind[effect.kind]
-        old = by_id.pop(effect.id, None)
-        if old is not None and effect.kind is _entries.Kind.MEMBER:
-            self.member_by_token.pop(old.value.token_sha256, None)
+        previous = by_id.pop(effect.id, None)
+        if previous is not None and effect.kind is _entries.Kind.MEMBER:
+            self.member_by_token.pop(previous.value.token_sha256, None)
         if text is None:
             return
-        kind = _entries.TYPE_BY_KIND[effect.kind]
-        value = _entries.intern_common_parts(wire.decode(text, kind))
+        value_type = _entries.TYPE_BY_KIND[effect.kind]
+        value = _entries.intern_common_parts(wire.decode(text, value_type))
         by_id[effect.id] = _entries.Entry(
             effect.kind, effect.id, effect.index, value
         )
