--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -54,7 +54,7 @@
 
     def first_at(self, tokens: int, now: float) -> float:
         """Queue a prompt; return the time of its first token."""
-        self._free_at = max(self._free_at, now) + self.pace.read_s(tokens)
+        self._free_at = max(self._free_at, now) + self.pace.prefill_s(tokens)
         return self._free_at
 
 
@@ -77,7 +77,7 @@
         tokens = rng.choice((600, 2_900, 9_000))
         key = ("entry", str(number))
         estimated_s = reading.backlog_s(now)
-        estimated_s += reading.pace(now).read_s(tokens)
+        estimated_s += reading.pace(now).prefill_s(tokens)
         first_at = engine.first_at(tokens, now)
         reading.add(key, tokens, 0, now)
         due.append((first_at, key, now))
@@ -115,7 +115,7 @@
         reading.add(key, 3_000, 0, now)
         now += took_s
         reading.begun(key, took_s, now)
-    estimated_s = reading.pace(now).read_s(3_000)
+    estimated_s = reading.pace(now).prefill_s(3_000)
     return [] if estimated_s > 0.2 else [f"estimated {estimated_s:.3f} s"]
 
 
@@ -130,9 +130,13 @@
         other.begun(("e", f"o{number}"), 0.1, now + 0.1)
         slow.begun(("e", f"s{number}"), 0.5, now + 0.5)
         now += 0.6
-    apart_s = slow.pace(now).read_s(3_000) - other.pace(now).read_s(3_000)
+    apart_s = slow.pace(now).prefill_s(3_000) - other.pace(now).prefill_s(
+        3_000
+    )
     later = now + 60.0
-    left_s = slow.pace(later).read_s(3_000) - other.pace(later).read_s(3_000)
+    left_s = slow.pace(later).prefill_s(3_000) - other.pace(later).prefill_s(
+        3_000
+    )
     if apart_s < 0.1 or abs(left_s) > 0.02:
         return [
             f"differs by {apart_s:.3f} s, a minute later by {left_s:.3f} s"
@@ -221,7 +225,7 @@
         reading.begun(("e", f"short{number}"), 0.033, now + 0.033)
         reading.begun(("e", f"long{number}"), 0.27, now + 0.27)
         now += 0.5
-    read_s = reading.pace(now).read_s(9_000)
+    read_s = reading.pace(now).prefill_s(9_000)
     return (
         []
         if 0.22 < read_s < 0.27
--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -40,13 +40,13 @@
         fixed_s: seconds until the first answer to an empty prompt.
         tokens_per_s: prefill speed under the concurrent load.
 
-    Example: ``Pace(0.012, 16_000.0).read_s(1_600)`` gives 0.112.
+    Example: ``Pace(0.012, 16_000.0).prefill_s(1_600)`` gives 0.112.
     """
 
     fixed_s: float
     tokens_per_s: float
 
-    def read_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """Return the prefill time of a prompt in seconds."""
         return self.fixed_s + tokens / self.tokens_per_s
 
@@ -76,7 +76,7 @@
         self, tokens: int, took_s: float, prior: Pace, now: float
     ) -> None:
         """Add an observation."""
-        expected_s = self.pace(prior, now).read_s(tokens)
+        expected_s = self.pace(prior, now).prefill_s(tokens)
         took_s = min(max(took_s, 0.0), expected_s * MAX_OBSERVATION_RATIO)
         self._decay(now, DECAY_PER_OBSERVATION)
         self._weight += 1.0
@@ -97,7 +97,7 @@
     def pace(self, prior: Pace, now: float) -> Pace:
         """Return the estimate; without recent observations, the prior."""
         factor = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
-        prior_s = prior.read_s(PRIOR_TOKENS)
+        prior_s = prior.prefill_s(PRIOR_TOKENS)
         weight = self._weight * factor + 2 * PRIOR_WEIGHT
         tokens = self._tokens * factor + PRIOR_WEIGHT * PRIOR_TOKENS
         seconds = self._seconds * factor
@@ -198,9 +198,9 @@
         if not in_turn:
             # It was read ahead of the oldest prompt, which was delayed by
             # its prefill time.
-            read_s = self.pace(now).read_s(unread.tokens)
+            prefill_s = self.pace(now).prefill_s(unread.tokens)
             self._reading_since = min(
-                self._reading_since + read_s, max(self._reading_since, now)
+                self._reading_since + prefill_s, max(self._reading_since, now)
             )
             return
         began_at = max(unread.granted_at, self._reading_since)
@@ -238,9 +238,9 @@
         ahead = [
             u for u in self._unread.values() if u.priority <= lowest_priority
         ]
-        total_s = sum(pace.read_s(unread.tokens) for unread in ahead)
+        total_s = sum(pace.prefill_s(unread.tokens) for unread in ahead)
         oldest = next(iter(self._unread.values()))
-        first_s = pace.read_s(oldest.tokens)
+        first_s = pace.prefill_s(oldest.tokens)
         spent_s = max(0.0, now - max(self._reading_since, oldest.granted_at))
         overdue_s = max(0.0, spent_s - first_s)
         if oldest.priority <= lowest_priority:
--- a/libs/placement/src/bergamotsail/placement/_place_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_place_policy.py
@@ -116,7 +116,7 @@
         return (
             record.reading.backlog_s(now, demand.priority)
             + self.fault_s * record.faults(now)
-            + record.reading.pace(now).read_s(tokens)
+            + record.reading.pace(now).prefill_s(tokens)
             + (self.other_datacentre_s if far else 0.0)
         )
 
--- a/libs/placement/src/bergamotsail/placement/_waiting.py
+++ b/libs/placement/src/bergamotsail/placement/_waiting.py
@@ -43,7 +43,7 @@
         time that meets the objective, which is earlier for long prompts.
         """
         request = self.request
-        needs_s = TYPICAL_LOAD_S + pace.read_s(request.prompt_tokens)
+        needs_s = TYPICAL_LOAD_S + pace.prefill_s(request.prompt_tokens)
         latest_start = (
             self.arrived_at + request.objective_s - request.age_s - needs_s
         )
