--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -160,7 +160,7 @@
             collections.OrderedDict()
         )
         # When the engine started to read the oldest unread prompt.
-        self._reading_since = 0.0
+        self._prefill_since = 0.0
         self._pace = pool.pace()
         self._pace_at = float("-inf")
         self._backlog_by_priority: dict[int, float] = {}
@@ -178,7 +178,7 @@
     ) -> None:
         """Add a prompt that is sent to the engine."""
         if not self._unread:
-            self._reading_since = now
+            self._prefill_since = now
         self._unread[key] = _Unread(now, tokens, priority)
         self._backlog_at = float("-inf")
 
@@ -193,23 +193,23 @@
         if unread is None:
             return
         first_at = min(unread.granted_at + first_s, now)
-        in_turn = key == next(iter(self._unread))
+        is_oldest = key == next(iter(self._unread))
         self.drop(key)
-        if not in_turn:
+        if not is_oldest:
             # It was read ahead of the oldest prompt, which was delayed by
             # its prefill time.
             prefill_s = self.pace(now).prefill_s(unread.tokens)
-            self._reading_since = min(
-                self._reading_since + prefill_s, max(self._reading_since, now)
+            self._prefill_since = min(
+                self._prefill_since + prefill_s, max(self._prefill_since, now)
             )
             return
-        began_at = max(unread.granted_at, self._reading_since)
+        began_at = max(unread.granted_at, self._prefill_since)
         if self._pool.learns and first_at > began_at:
             took_s = first_at - began_at
             self._pool.learn(unread.tokens, took_s, now)
             prior = self._pool.pace()
             self._estimate.learn(unread.tokens, took_s, prior, now)
-        self._reading_since = max(self._reading_since, first_at)
+        self._prefill_since = max(self._prefill_since, first_at)
 
     def backlog_s(self, now: float, priority: int | None = None) -> float:
         """Return how long a prompt that is sent now waits for its prefill.
@@ -236,12 +236,14 @@
     def _compute_backlog_s(self, now: float, lowest_priority: int) -> float:
         pace = self.pace(now)
         ahead = [
-            u for u in self._unread.values() if u.priority <= lowest_priority
+            unread
+            for unread in self._unread.values()
+            if unread.priority <= lowest_priority
         ]
         total_s = sum(pace.prefill_s(unread.tokens) for unread in ahead)
         oldest = next(iter(self._unread.values()))
         first_s = pace.prefill_s(oldest.tokens)
-        spent_s = max(0.0, now - max(self._reading_since, oldest.granted_at))
+        spent_s = max(0.0, now - max(self._prefill_since, oldest.granted_at))
         overdue_s = max(0.0, spent_s - first_s)
         if oldest.priority <= lowest_priority:
             total_s -= min(spent_s, first_s)
