--- a/features/holders.feature
+++ b/features/holders.feature
@@ -14,13 +14,13 @@
     Then no engine saw holders take turns
 
     Examples:
-      | scenario          |
-      | handed_on_at_once |
-      | regained_at_once  |
-      | all_restarted_at_once |
-      | noted_before_it_orders |
-      | quiet_after_each_term |
-      | resident_meanwhile |
+      | scenario                        |
+      | new_leader_orders_at_once       |
+      | reelected_leader_orders_at_once |
+      | no_wait_after_full_restart      |
+      | recorded_before_first_order     |
+      | initial_delay_in_each_term      |
+      | resident_adapters_during_wait   |
 
   Scenario: A tenure keeps to the lease over any elections and restarts
     When 400 random histories of elections are tried
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -7,21 +7,21 @@
     Then no promise is broken
 
     Examples:
-      | scenario                |
-      | dropped_load            |
-      | no_order_without_lead   |
-      | lead_in_doubt           |
-      | quiet_new_holder        |
-      | taken_over              |
-      | taken_over_idle         |
-      | returned_goes_behind    |
-      | long_prompt_goes_sooner |
-      | full_home               |
-      | deposed_in_a_load       |
-      | storm_of_waiters        |
-      | asked_again             |
-      | models_in_turn          |
-      | named_version           |
+      | scenario                       |
+      | dropped_load                   |
+      | no_order_without_leadership    |
+      | leadership_briefly_unconfirmed |
+      | initial_order_delay            |
+      | takeover_of_busy_engine        |
+      | takeover_of_idle_engine        |
+      | late_retry_goes_last           |
+      | long_prompt_goes_first         |
+      | full_engine_with_copy          |
+      | leadership_lost_during_load    |
+      | many_waiting_requests          |
+      | repeated_request               |
+      | one_store_load_at_a_time       |
+      | new_default_version            |
 
   Scenario: Random loads with late and lost orders keep the ledger true
     When 24 random loads are tried
--- a/features/steps/holders.py
+++ b/features/steps/holders.py
@@ -10,7 +10,7 @@
 def away_and_back(context) -> None:
     context.faults = [
         fault
-        for name in ("away_and_back", "back_after_a_restart")
+        for name in ("away_and_back", "restarted_holder")
         for fault in holders.run_scenario(name)
     ]
 
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -206,7 +206,7 @@
             await asyncio.sleep(0.02)
         raise AssertionError("No leader was elected within 12 s.")
 
-    async def ordering(self) -> tuple[ReplicaProcess, ReplicaProcess]:
+    async def wait_for_orders(self) -> tuple[ReplicaProcess, ReplicaProcess]:
         """Wait until the leader issues orders; return it and a follower."""
         first = await self.leader()
         other = next(
@@ -217,7 +217,7 @@
         await self.ask()
         return first, other
 
-    async def move_lead(self, process: ReplicaProcess) -> None:
+    async def move_leadership(self, process: ReplicaProcess) -> None:
         """Have a replica elected at once, without a fault."""
         node = process.replica.node
         for _ in range(40):
@@ -301,10 +301,10 @@
 async def away_and_back() -> list[str]:
     """Leadership moves to another replica and back within one lease."""
     async with ReplicaCluster(1, engines=1) as cluster:
-        first, other = await cluster.ordering()
-        await cluster.move_lead(other)
+        first, other = await cluster.wait_for_orders()
+        await cluster.move_leadership(other)
         await cluster.ask_until_served(2.0)
-        await cluster.move_lead(first)
+        await cluster.move_leadership(first)
         await cluster.ask_repeatedly()
         faults = cluster.faults()
         ordered = {holder for _, holder in cluster.accepted("e0")}
@@ -315,16 +315,16 @@
         return faults
 
 
-async def back_after_a_restart() -> list[str]:
+async def restarted_holder() -> list[str]:
     """A restarted process takes its start as the time of its last order."""
     async with ReplicaCluster(2, engines=1) as cluster:
-        first, _ = await cluster.ordering()
+        first, _ = await cluster.wait_for_orders()
         await cluster.stop(first)
         await cluster.ask_until_served(4.0)
         await cluster.start(first)
         await asyncio.sleep(0.3)
         await cluster.ask()
-        await cluster.move_lead(first)
+        await cluster.move_leadership(first)
         await cluster.ask_repeatedly()
         faults = cluster.faults()
         if {h for _, h in cluster.accepted("e0")} == {first.name}:
@@ -334,31 +334,31 @@
         return faults
 
 
-async def handed_on_at_once() -> list[str]:
+async def new_leader_orders_at_once() -> list[str]:
     """A replica that never issued orders does so as soon as it leads."""
     async with ReplicaCluster(3, engines=1) as cluster:
-        _, other = await cluster.ordering()
-        await cluster.move_lead(other)
+        _, other = await cluster.wait_for_orders()
+        await cluster.move_leadership(other)
         took_s = await cluster.ask_until_served(3.0)
         if took_s is None or took_s > 1.5:
             return [f"The first order took {took_s} s."]
         return cluster.faults()
 
 
-async def regained_at_once() -> list[str]:
+async def reelected_leader_orders_at_once() -> list[str]:
     """A leader that is reelected without another between doesn't wait."""
     async with ReplicaCluster(4, engines=1) as cluster:
-        first, _ = await cluster.ordering()
+        first, _ = await cluster.wait_for_orders()
         node = first.replica.node
         node._become_follower(None)
-        await cluster.move_lead(first)
+        await cluster.move_leadership(first)
         took_s = await cluster.ask_until_served(3.0)
         if took_s is None or took_s > 1.5:
             return [f"The next order took {took_s} s."]
         return cluster.faults()
 
 
-async def all_restarted_at_once() -> list[str]:
+async def no_wait_after_full_restart() -> list[str]:
     """No leader waits after all restart, if other holders' leases expired."""
     faults = []
     for seed in range(4):
@@ -366,7 +366,7 @@
             first = await cluster.leader()
             other = next(p for p in cluster.processes if p is not first)
             await cluster.ask_until_served(3.0)
-            await cluster.move_lead(other)
+            await cluster.move_leadership(other)
             await cluster.ask_until_served(3.0)
             await asyncio.sleep(6.0)
             for process in cluster.processes:
@@ -381,10 +381,10 @@
     return faults
 
 
-async def noted_before_it_orders() -> list[str]:
+async def recorded_before_first_order() -> list[str]:
     """A leader that can't record its tenure in the log issues no orders."""
     async with ReplicaCluster(1, engines=1) as cluster:
-        first, other = await cluster.ordering()
+        first, other = await cluster.wait_for_orders()
         node = other.replica.node
         request = quorum_messages.LeadRequest(node.member.id, node.term)
         await node.on_lead(request)
@@ -397,7 +397,7 @@
         return [f"{len(ordered)} orders were sent"] if ordered else []
 
 
-async def quiet_after_each_term() -> list[str]:
+async def initial_delay_in_each_term() -> list[str]:
     """With engines that ignore fences, a reelected leader waits too.
 
     Its own orders of the previous term may still be in flight.
@@ -409,7 +409,7 @@
         first = await cluster.leader()
         await cluster.ask_until_served(8.0)
         first.replica.node._become_follower(None)
-        await cluster.move_lead(first)
+        await cluster.move_leadership(first)
         loop = asyncio.get_running_loop()
         regained_at = loop.time()
         before = len(cluster.accepted("e0"))
@@ -422,14 +422,14 @@
     return faults
 
 
-async def resident_meanwhile() -> list[str]:
+async def resident_adapters_during_wait() -> list[str]:
     """A leader that may not order yet still places on resident adapters."""
     async with ReplicaCluster(6, engines=1) as cluster:
-        first, other = await cluster.ordering()
+        first, other = await cluster.wait_for_orders()
         known = f"a{cluster.asked}"
-        await cluster.move_lead(other)
+        await cluster.move_leadership(other)
         await cluster.ask_until_served(2.0)
-        await cluster.move_lead(first)
+        await cluster.move_leadership(first)
         if not await cluster.ask_at(first, 0.5, known):
             return ["A request for a resident adapter was refused."]
         return cluster.faults()
@@ -450,7 +450,7 @@
             draw = rng.random()
             if draw < 0.6:
                 with contextlib.suppress(AssertionError):
-                    await cluster.move_lead(process)
+                    await cluster.move_leadership(process)
                 continue
             await cluster.stop(process)
             if draw > 0.9:
@@ -472,7 +472,7 @@
     def __init__(self, names: tuple[str, ...], lease_s: float) -> None:
         self.now = 0.0
         self.term = 0
-        self.noted: list[str] = []
+        self.recorded: list[str] = []
         self.accepted: list[tuple[float, str]] = []
         self._lease_s = lease_s
         self._tenure_by_name = {name: self._new() for name in names}
@@ -484,7 +484,7 @@
         """Make a process the leader."""
         self.term += 1
         tenure = self._tenure_by_name[name]
-        tenure.begin(self.term, name, tuple(self.noted), self.now)
+        tenure.begin(self.term, name, tuple(self.recorded), self.now)
 
     def restart(self, name: str) -> None:
         """Restart a process; only the replicated record survives."""
@@ -494,10 +494,10 @@
         """Let a process issue an order, if its tenure permits it."""
         tenure = self._tenure_by_name[name]
         if tenure.fence == self.term and tenure.due(self.now):
-            self.noted = [n for n in self.noted if n != name] + [name]
+            self.recorded = [n for n in self.recorded if n != name] + [name]
             tenure.noted(self.term, self.now)
         if tenure.fence == self.term and tenure.alone_due(self.now):
-            self.noted = [name]
+            self.recorded = [name]
             tenure.noted(self.term, self.now, True)
         if tenure.may_order(self.term):
             with tenure.sending(lambda: self.now):
@@ -533,13 +533,13 @@
 
 SCENARIOS = {
     "away_and_back": away_and_back,
-    "back_after_a_restart": back_after_a_restart,
-    "handed_on_at_once": handed_on_at_once,
-    "regained_at_once": regained_at_once,
-    "all_restarted_at_once": all_restarted_at_once,
-    "noted_before_it_orders": noted_before_it_orders,
-    "quiet_after_each_term": quiet_after_each_term,
-    "resident_meanwhile": resident_meanwhile,
+    "restarted_holder": restarted_holder,
+    "new_leader_orders_at_once": new_leader_orders_at_once,
+    "reelected_leader_orders_at_once": reelected_leader_orders_at_once,
+    "no_wait_after_full_restart": no_wait_after_full_restart,
+    "recorded_before_first_order": recorded_before_first_order,
+    "initial_delay_in_each_term": initial_delay_in_each_term,
+    "resident_adapters_during_wait": resident_adapters_during_wait,
 }
 
 
@@ -585,7 +585,7 @@
 MUTANTS = (
     (
         "order before it is noted",
-        "noted_before_it_orders",
+        "recorded_before_first_order",
         (placement.Tenure, "may_order", _due_unnoted),
     ),
     (
@@ -595,12 +595,12 @@
     ),
     (
         "remember for ever who ordered before",
-        "all_restarted_at_once",
+        "no_wait_after_full_restart",
         (placement.Tenure, "alone_due", lambda *_: False),
     ),
     (
         "forget at once who ordered before",
-        "back_after_a_restart",
+        "restarted_holder",
         (placement.Tenure, "alone_due", _alone_at_once),
     ),
     (
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -124,8 +124,8 @@
         await asyncio.sleep(0.002)
         self.reports += 1
         now = asyncio.get_running_loop().time()
-        old = [r for at, r in self._history if at <= now - LAG_S]
-        return old[-1] if old else self._history[0][1]
+        visible = [r for at, r in self._history if at <= now - LAG_S]
+        return visible[-1] if visible else self._history[0][1]
 
     async def load(self, order: targets.EngineOrder) -> Outcome:
         return await self._receive(order, self._load)
@@ -353,7 +353,7 @@
     async def __aexit__(self, *_: object) -> None:
         await self.placer.__aexit__()
 
-    def ask(
+    def new_request(
         self,
         adapter: str,
         patience_s: float = 3.0,
@@ -386,9 +386,11 @@
         prompt_tokens: int = 100,
     ) -> None:
         """Request a place, run there and release it."""
-        ask = self.ask(adapter, patience_s, age_s, prompt_tokens)
+        place_request = self.new_request(
+            adapter, patience_s, age_s, prompt_tokens
+        )
         try:
-            place = await self.placer.on_place(ask)
+            place = await self.placer.on_place(place_request)
         except wire.ServingError:
             self.refused += 1
             return
@@ -399,7 +401,9 @@
             self.served += 1
             first_s = min(work_s, FIRST_S)
             await asyncio.sleep(first_s)
-            begun = placement.BegunUse(ask.request, place.target, first_s)
+            begun = placement.BegunUse(
+                place_request.request, place.target, first_s
+            )
             await self.placer.on_release(
                 placement.ReleaseRequest("entry-1", (), (begun,))
             )
@@ -408,7 +412,9 @@
         outcome = placement.UseOutcome.DONE
         if not ran:
             outcome = placement.UseOutcome.ABSENT
-        ended = placement.EndedUse(ask.request, place.target, outcome)
+        ended = placement.EndedUse(
+            place_request.request, place.target, outcome
+        )
         await self.placer.on_release(
             placement.ReleaseRequest("entry-1", (ended,))
         )
@@ -476,7 +482,7 @@
         return [f"{sent} orders were sent."] if sent else []
 
 
-async def no_order_without_lead() -> list[str]:
+async def no_order_without_leadership() -> list[str]:
     """A placer that lost leadership sends none of its planned orders."""
     async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
@@ -489,7 +495,7 @@
         return [f"{sent} orders were sent."] if sent else []
 
 
-async def deposed_in_a_load() -> list[str]:
+async def leadership_lost_during_load() -> list[str]:
     """A placer that loses leadership during a load stops polling reports."""
     async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
@@ -504,7 +510,7 @@
         return [f"{asked} reports were requested"] if asked > 2 else []
 
 
-async def lead_in_doubt() -> list[str]:
+async def leadership_briefly_unconfirmed() -> list[str]:
     """A placer resumes orders after a short loss of confirmed leadership."""
     async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
@@ -520,7 +526,7 @@
         return [] if harness.served >= 5 else [f"only {harness.served} served"]
 
 
-async def quiet_new_holder() -> list[str]:
+async def initial_order_delay() -> list[str]:
     """A new leader waits before it orders engines that check no fences."""
     async with PlacerHarness(
         1, FaultRates(), engines=1, quiet_s=3.0
@@ -538,7 +544,7 @@
         return faults
 
 
-async def taken_over() -> list[str]:
+async def takeover_of_busy_engine() -> list[str]:
     """A new leader evicts no adapter whose uses are not reported yet."""
     async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
@@ -563,7 +569,7 @@
         return faults
 
 
-async def taken_over_idle() -> list[str]:
+async def takeover_of_idle_engine() -> list[str]:
     """A new leader evicts at once on an engine that reports no runs."""
     async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
@@ -578,7 +584,7 @@
         return [f"The request took {took_s:.2f} s."] if took_s > 0.5 else []
 
 
-async def returned_goes_behind() -> list[str]:
+async def late_retry_goes_last() -> list[str]:
     """A retried request that missed its objective is served later.
 
     A request that can still meet its objective goes first, although it
@@ -588,17 +594,17 @@
         await asyncio.sleep(2.0)
         busy = asyncio.create_task(harness.request("a1", 0.4))
         await asyncio.sleep(0.3)
-        back = asyncio.create_task(harness.request("a2", 0.1, age_s=2.0))
+        retried = asyncio.create_task(harness.request("a2", 0.1, age_s=2.0))
         await asyncio.sleep(0.05)
         await harness.request("a3", 0.0)
-        faults = ["The retried request went first."] if back.done() else []
-        await asyncio.gather(busy, back)
+        faults = ["The retried request went first."] if retried.done() else []
+        await asyncio.gather(busy, retried)
         if harness.served < 3:
             faults.append(f"Only {harness.served} of 3 were served.")
         return faults
 
 
-async def long_prompt_goes_sooner() -> list[str]:
+async def long_prompt_goes_first() -> list[str]:
     """A long prompt goes first, as it must begin sooner to be on time."""
     async with PlacerHarness(1, FaultRates(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
@@ -612,7 +618,7 @@
         return faults
 
 
-async def full_home() -> list[str]:
+async def full_engine_with_copy() -> list[str]:
     """A request goes to another engine if its home engine stays full."""
     async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
@@ -632,7 +638,7 @@
         return []
 
 
-async def asked_again() -> list[str]:
+async def repeated_request() -> list[str]:
     """A request repeated after a lost reply is counted only once.
 
     This holds if the new place is at the same engine or at another one. A
@@ -641,13 +647,15 @@
     """
     async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
-        ask = harness.ask("a1")
-        lost = await harness.placer.on_place(ask)
-        await harness.placer.on_place(ask)
-        ask = dataclasses.replace(ask, avoid=(lost.target,))
-        place = await harness.placer.on_place(ask)
+        place_request = harness.new_request("a1")
+        lost = await harness.placer.on_place(place_request)
+        await harness.placer.on_place(place_request)
+        place_request = dataclasses.replace(
+            place_request, avoid=(lost.target,)
+        )
+        place = await harness.placer.on_place(place_request)
         ended = placement.EndedUse(
-            ask.request, place.target, placement.UseOutcome.DONE
+            place_request.request, place.target, placement.UseOutcome.DONE
         )
         await harness.placer.on_release(
             placement.ReleaseRequest("entry-1", (ended,))
@@ -663,18 +671,20 @@
         ]
 
 
-async def models_in_turn() -> list[str]:
+async def one_store_load_at_a_time() -> list[str]:
     """The store serves one base model at a time; local disks don't wait."""
     async with PlacerHarness(1, FaultRates(), engines=5) as harness:
         engines = list(harness.engine_by_id.values())
         for number, engine in enumerate(engines):
             engine.drop_model(on_disk=number >= 3)
-        most = 0
+        max_fetching = 0
         for _ in range(100):
             await asyncio.sleep(0.1)
-            most = max(most, sum(e.fetching for e in engines))
+            max_fetching = max(max_fetching, sum(e.fetching for e in engines))
         faults = (
-            [f"{most} fetches from the store at once"] if most != 1 else []
+            [f"{max_fetching} fetches from the store at once"]
+            if max_fetching != 1
+            else []
         )
         if not all(engine.model_loaded for engine in engines):
             faults.append("An engine did not load its model.")
@@ -683,7 +693,7 @@
         return faults
 
 
-async def storm_of_waiters() -> list[str]:
+async def many_waiting_requests() -> list[str]:
     """Many waiting requests cause few rounds of decisions.
 
     Otherwise the event loop of the leader has no time for other work.
@@ -691,12 +701,12 @@
     async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         decided = 0
-        pump = harness.placer._schedule
+        schedule = harness.placer._schedule
 
         def counted() -> None:
             nonlocal decided
             decided += 1
-            pump()
+            schedule()
             harness.placer._schedule_took_s = 0.02
 
         harness.placer._schedule = counted
@@ -709,7 +719,7 @@
         return [f"{decided} rounds of decisions"] if decided > 17 else []
 
 
-async def named_version() -> list[str]:
+async def new_default_version() -> list[str]:
     """A new default version applies to new runs within 2 s."""
     async with PlacerHarness(1, FaultRates()) as harness:
         await asyncio.sleep(2.0)
@@ -717,10 +727,10 @@
         harness.name_version("a1", 7)
         busy = asyncio.create_task(harness.request("a1", 3.0))
         await asyncio.sleep(2.0)
-        ask = placement.PlaceRequest(
+        place_request = placement.PlaceRequest(
             "entry-1", "late", POOL, MODEL, "a1", 9, 9, (), 0, 4.0, "mnl-a"
         )
-        place = await harness.placer.on_place(ask)
+        place = await harness.placer.on_place(place_request)
         await busy
         return (
             []
@@ -748,37 +758,37 @@
     ),
     (
         "order after the lead is lost",
-        "no_order_without_lead",
+        "no_order_without_leadership",
         (placement.EngineOrders, "_gate_open", lambda _: True),
     ),
     (
         "wait at home for ever",
-        "full_home",
+        "full_engine_with_copy",
         (_place_policy, "WAITING_WEIGHT", 0.0),
     ),
     (
         "evict before entries have told",
-        "taken_over",
+        "takeover_of_busy_engine",
         (_placer, "USES_REPORTED_S", 0.0),
     ),
     (
         "decide at once, always",
-        "storm_of_waiters",
+        "many_waiting_requests",
         (_placer, "SCHEDULE_SPACING", 0.0),
     ),
     (
         "begin on an old version",
-        "named_version",
+        "new_default_version",
         (_placer, "OLD_VERSION_S", 1e9),
     ),
     (
         "never tend to what was left open",
-        "lead_in_doubt",
+        "leadership_briefly_unconfirmed",
         (placement.EngineOrders, "reconcile", lambda _: None),
     ),
     (
         "leave the first place counted",
-        "asked_again",
+        "repeated_request",
         (
             _placer.Placer,
             "_move_request",
@@ -789,7 +799,7 @@
     ),
     (
         "load all models at once",
-        "models_in_turn",
+        "one_store_load_at_a_time",
         (
             placement.StoreLoadLock,
             "turn",
@@ -806,19 +816,19 @@
 
 SCENARIOS = {
     "dropped_load": dropped_load,
-    "no_order_without_lead": no_order_without_lead,
-    "deposed_in_a_load": deposed_in_a_load,
-    "lead_in_doubt": lead_in_doubt,
-    "quiet_new_holder": quiet_new_holder,
-    "taken_over": taken_over,
-    "taken_over_idle": taken_over_idle,
-    "returned_goes_behind": returned_goes_behind,
-    "long_prompt_goes_sooner": long_prompt_goes_sooner,
-    "full_home": full_home,
-    "asked_again": asked_again,
-    "models_in_turn": models_in_turn,
-    "storm_of_waiters": storm_of_waiters,
-    "named_version": named_version,
+    "no_order_without_leadership": no_order_without_leadership,
+    "leadership_lost_during_load": leadership_lost_during_load,
+    "leadership_briefly_unconfirmed": leadership_briefly_unconfirmed,
+    "initial_order_delay": initial_order_delay,
+    "takeover_of_busy_engine": takeover_of_busy_engine,
+    "takeover_of_idle_engine": takeover_of_idle_engine,
+    "late_retry_goes_last": late_retry_goes_last,
+    "long_prompt_goes_first": long_prompt_goes_first,
+    "full_engine_with_copy": full_engine_with_copy,
+    "repeated_request": repeated_request,
+    "one_store_load_at_a_time": one_store_load_at_a_time,
+    "many_waiting_requests": many_waiting_requests,
+    "new_default_version": new_default_version,
 }
 
 
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -19,7 +19,7 @@
 from features.support import ledger
 
 BORN_MS = 1_700_000_000_000
-LATER_MS = 60_000
+RESTART_GAP_MS = 60_000
 # Time to reload the base model and one adapter after a restart.
 RELOAD_S = ledger.MODEL_S + 3.0
 ADDRESS = "10.1.0.1:1"
@@ -90,23 +90,23 @@
         await asyncio.sleep(2.0)
         for number in range(adapters):
             await self.request(f"a{number}", 0.05)
-        await self.placer.on_place(self.ask("a0"))
+        await self.placer.on_place(self.new_request("a0"))
 
 
 def _instance(start: targets.Incarnation) -> targets.Instance:
     return targets.Instance(str(start), ledger.POOL, ADDRESS, "mnl-a")
 
 
-async def _check_after_restart(world: RestartHarness) -> list[str]:
+async def _check_after_restart(harness: RestartHarness) -> list[str]:
     """Return faults if the placer fails a request or keeps old state.
 
     Old state is what the placer recorded before the engine's restart.
     """
-    (engine,) = world.engine_by_id.values()
-    await world.request("a0", 0.05, RELOAD_S)
-    if not world.served:
+    (engine,) = harness.engine_by_id.values()
+    await harness.request("a0", 0.05, RELOAD_S)
+    if not harness.served:
         return ["The request was refused, or its adapter was not loaded."]
-    (record,) = world.records
+    (record,) = harness.records
     faults = []
     if record.running:
         faults.append(
@@ -123,87 +123,87 @@
     return faults
 
 
-async def told_by_the_engine() -> list[str]:
+async def start_reported_by_engine() -> list[str]:
     """The engine reports a later start while the list still lags."""
-    async with RestartHarness(1) as world:
-        await world.fill()
-        world.served = 0
-        world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
-        await world.request("a0", 0.05)
-        world.served = 0
-        faults = await _check_after_restart(world)
-        (before,) = world.records
-        world.read_list()
-        world.listed_by_name["e0"] = BORN_MS + LATER_MS
-        world.read_list()
-        if world.records != [before]:
+    async with RestartHarness(1) as harness:
+        await harness.fill()
+        harness.served = 0
+        harness.engine_by_id["e0"].restart(BORN_MS + RESTART_GAP_MS)
+        await harness.request("a0", 0.05)
+        harness.served = 0
+        faults = await _check_after_restart(harness)
+        (before,) = harness.records
+        harness.read_list()
+        harness.listed_by_name["e0"] = BORN_MS + RESTART_GAP_MS
+        harness.read_list()
+        if harness.records != [before]:
             faults.append("The lagging list discarded the new ledger.")
         return faults
 
 
-async def told_by_the_list() -> list[str]:
+async def start_shown_by_list() -> list[str]:
     """The list is the first to show a later start."""
-    async with RestartHarness(1) as world:
-        await world.fill()
-        world.served = 0
-        world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
-        world.listed_by_name["e0"] = BORN_MS + LATER_MS
-        world.read_list()
-        return await _check_after_restart(world)
+    async with RestartHarness(1) as harness:
+        await harness.fill()
+        harness.served = 0
+        harness.engine_by_id["e0"].restart(BORN_MS + RESTART_GAP_MS)
+        harness.listed_by_name["e0"] = BORN_MS + RESTART_GAP_MS
+        harness.read_list()
+        return await _check_after_restart(harness)
 
 
-async def told_by_neither() -> list[str]:
+async def no_start_time() -> list[str]:
     """No start time is known; fewer orders and no adapters show a restart."""
-    async with RestartHarness(1) as world:
-        world.listed_by_name["e0"] = None
-        world.engine_by_id["e0"].restart(None)
-        world.read_list()
-        await world.fill()
-        world.engine_by_id["e0"].restart(None)
-        await world.request("a0", 0.05)
-        world.served = 0
-        return await _check_after_restart(world)
-
-
-async def told_the_same() -> list[str]:
+    async with RestartHarness(1) as harness:
+        harness.listed_by_name["e0"] = None
+        harness.engine_by_id["e0"].restart(None)
+        harness.read_list()
+        await harness.fill()
+        harness.engine_by_id["e0"].restart(None)
+        await harness.request("a0", 0.05)
+        harness.served = 0
+        return await _check_after_restart(harness)
+
+
+async def same_start_listed_again() -> list[str]:
     """A start that is listed again, or not listed, discards no ledger."""
-    async with RestartHarness(1) as world:
-        await world.fill()
-        before = world.records
+    async with RestartHarness(1) as harness:
+        await harness.fill()
+        before = harness.records
         for told in (BORN_MS, None, BORN_MS):
-            world.listed_by_name["e0"] = told
-            world.read_list()
+            harness.listed_by_name["e0"] = told
+            harness.read_list()
             await asyncio.sleep(1.0)
-        if world.records != before:
+        if harness.records != before:
             return ["The ledger of an unchanged start was discarded."]
         return []
 
 
-async def told_late() -> list[str]:
+async def start_listed_late() -> list[str]:
     """A start time that is listed late may be that of the known start."""
-    async with RestartHarness(1) as world:
-        world.fleet = control.Fleet()
-        world.listed_by_name["e0"] = None
-        world.read_list()
-        await world.fill()
-        before = world.records
-        world.listed_by_name["e0"] = BORN_MS
-        world.read_list()
+    async with RestartHarness(1) as harness:
+        harness.fleet = control.Fleet()
+        harness.listed_by_name["e0"] = None
+        harness.read_list()
+        await harness.fill()
+        before = harness.records
+        harness.listed_by_name["e0"] = BORN_MS
+        harness.read_list()
         await asyncio.sleep(1.0)
-        if world.records != before:
+        if harness.records != before:
             return ["A start time that was listed late discarded the ledger."]
-        world.engine_by_id["e0"].restart(BORN_MS + LATER_MS)
-        await world.request("a0", 0.05)
-        world.served = 0
-        return await _check_after_restart(world)
+        harness.engine_by_id["e0"].restart(BORN_MS + RESTART_GAP_MS)
+        await harness.request("a0", 0.05)
+        harness.served = 0
+        return await _check_after_restart(harness)
 
 
 SCENARIOS = {
-    "told_by_the_engine": told_by_the_engine,
-    "told_by_the_list": told_by_the_list,
-    "told_by_neither": told_by_neither,
-    "told_the_same": told_the_same,
-    "told_late": told_late,
+    "start_reported_by_engine": start_reported_by_engine,
+    "start_shown_by_list": start_shown_by_list,
+    "no_start_time": no_start_time,
+    "same_start_listed_again": same_start_listed_again,
+    "start_listed_late": start_listed_late,
 }
 
 
@@ -217,65 +217,67 @@
     fault_rates = ledger.FaultRates(
         rng.choice((0, 0.2)), rng.choice((0, 0.2)), 6.0
     )
-    async with RestartHarness(seed, fault_rates, 2) as world:
+    async with RestartHarness(seed, fault_rates, 2) as harness:
         if not with_start_times:
-            _remove_start_times(world)
+            _remove_start_times(harness)
         await asyncio.sleep(2.0)
         tasks = []
         for number in range(80):
             if number % 16 == 12:
-                _restart_one(world, rng, with_start_times)
+                _restart_one(harness, rng, with_start_times)
             if number % 5 == 0:
-                world.read_list()
-            work = world.request(
+                harness.read_list()
+            work = harness.request(
                 f"a{rng.randrange(8)}", rng.uniform(0.05, 0.6)
             )
             tasks.append(asyncio.create_task(work))
             await asyncio.sleep(rng.uniform(0.0, 0.25))
         await asyncio.gather(*tasks)
-        for name, engine in world.engine_by_id.items():
+        for name, engine in harness.engine_by_id.items():
             engine.fault_rates = ledger.FaultRates()
-            world.listed_by_name[name] = engine.start_time_ms
+            harness.listed_by_name[name] = engine.start_time_ms
         await asyncio.sleep(14.0)
-        world.read_list()
+        harness.read_list()
         await asyncio.sleep(RELOAD_S)
-        served = world.served
-        await asyncio.gather(*(world.request(f"a{n}", 0.05) for n in range(8)))
-        faults = world.check()
-        if world.served < served + 8:
+        served = harness.served
+        await asyncio.gather(
+            *(harness.request(f"a{n}", 0.05) for n in range(8))
+        )
+        faults = harness.check()
+        if harness.served < served + 8:
             faults.append(
-                f"Only {world.served - served} of 8 requests were served "
+                f"Only {harness.served - served} of 8 requests were served "
                 "after the faults ended."
             )
-        running = [record.running for record in world.records]
+        running = [record.running for record in harness.records]
         if any(running):
             faults.append(f"Ended requests are still counted: {running}.")
         return faults
 
 
-def _remove_start_times(world: RestartHarness) -> None:
+def _remove_start_times(harness: RestartHarness) -> None:
     """Remove all start times from the engines and the list."""
-    world.fleet = control.Fleet()
-    for name, engine in world.engine_by_id.items():
+    harness.fleet = control.Fleet()
+    for name, engine in harness.engine_by_id.items():
         engine.restart(None)
         engine.model_loaded = True
         engine._record_report()
-        world.listed_by_name[name] = None
-    world.read_list()
+        harness.listed_by_name[name] = None
+    harness.read_list()
 
 
 def _restart_one(
-    world: RestartHarness, rng: random.Random, with_start_times: bool
+    harness: RestartHarness, rng: random.Random, with_start_times: bool
 ) -> None:
     """Restart an engine; the list shows it now, later or never."""
-    name = rng.choice(list(world.engine_by_id))
-    engine = world.engine_by_id[name]
+    name = rng.choice(list(harness.engine_by_id))
+    engine = harness.engine_by_id[name]
     if not with_start_times:
         engine.restart(None)
         return
-    engine.restart(engine.start_time_ms + LATER_MS)
+    engine.restart(engine.start_time_ms + RESTART_GAP_MS)
     if rng.random() < 0.5:
-        world.listed_by_name[name] = engine.start_time_ms
+        harness.listed_by_name[name] = engine.start_time_ms
 
 
 def run_scenario(name: str) -> list[str]:
@@ -363,22 +365,22 @@
     ),
     (
         "believe a report of whichever start",
-        "told_by_the_engine",
+        "start_reported_by_engine",
         (placement.EngineOrders, "_report", _report_unchecked),
     ),
     (
         "know an engine by its name alone",
-        "told_by_the_list",
+        "start_shown_by_list",
         (targets.Incarnation, "__str__", lambda start: start.name),
     ),
     (
         "see no start in fewer orders",
-        "told_by_neither",
+        "no_start_time",
         (placement.EngineRecord, "shows_new_start", lambda *_: False),
     ),
     (
         "believe the list, however old",
-        "told_by_the_engine",
+        "start_reported_by_engine",
         (
             control.Fleet,
             "_apply_entry",
