--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -18,6 +18,8 @@
 REPORT_LAG_S = 0.3
 SETTLE_RETRY_S = 0.3
 MAX_SETTLE_RETRY_S = 1.5
+# Expected duration of an adapter load from a local copy and from the store.
+# A load is first confirmed after this time.
 COPY_LOAD_S = 0.025
 STORE_LOAD_S = 0.25
 CONFIRM_INTERVAL_S = 0.02
@@ -74,11 +76,13 @@
     Args:
         term: the leader's term under which orders are sent.
         earlier_starts: number of earlier incarnations of this engine that
-            got orders in this term. An unanswered order to one of them would
-            be accepted by this one once the sequence number matches; in 2 of
-            16 random workloads with restarts it overfilled an engine. A
-            higher fencing number rejects it.
-        gate: checked as each order is written.
+            got orders in this term. Each incarnation gets a higher fencing
+            number, so that it rejects orders that earlier ones left
+            unanswered. Otherwise such an order is accepted as soon as the
+            sequence numbers match, which overfilled an engine in 2 of 16
+            random workloads with restarts.
+        gate: decides whether orders may be sent; checked right before each
+            one is written.
         on_changed: called when a load or the engine's state was confirmed.
         on_new_start: called with the start time in milliseconds when the
             engine reports another start; the orders and the record are then
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -244,7 +244,8 @@
         if len(self._queue) < self._settings.max_queue:
             return
         queue_full = wire.OverloadError(
-            f"Engine {self.info.id} has {len(self._queue)} requests waiting.",
+            f"The queue of engine {self.info.id} is full: "
+            f"{len(self._queue)} requests are waiting. Try again later.",
             retry_after_s=expected_s,
         )
         longest = self._queue.longest_member()
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -80,7 +80,9 @@
     """The scheduler's record of one incarnation of an engine.
 
     It follows the accepted orders. Reports lag, so they only confirm the
-    record or resolve the outcome of an order that was not answered.
+    record or resolve the outcome of an order that was not answered. Until a
+    report has done so, the state is not ``known``. The record is ``fenced``
+    once the engine has rejected an order for its fencing number.
 
     Args:
         spec: capacity of the engines of the pool.
--- a/libs/placement/src/bergamotsail/placement/_jobs.py
+++ b/libs/placement/src/bergamotsail/placement/_jobs.py
@@ -86,6 +86,7 @@
 
     Args:
         owner: the member that the adapter belongs to.
+        weights: location of the adapter's weights.
         deadline: on the owner's clock.
         was_resident: whether its adapter was resident when it was queued.
         ready: resolved with its stream when the job is dispatched; its
--- a/libs/placement/src/bergamotsail/placement/_loads.py
+++ b/libs/placement/src/bergamotsail/placement/_loads.py
@@ -17,8 +17,9 @@
 TURN_TIMEOUT_S = 2.0
 # Weight of the latest load in the moving average of load durations.
 SMOOTHING = 0.2
+# Maximum number of pending adapters in a status report.
 MAX_PENDING = 32
-# Minimum use count of an adapter that its member still uses.
+# Decayed use count below which an adapter counts as no longer used.
 MIN_USE_COUNT = 0.5
 LOAD_BACKOFF_S = 0.5
 DEFAULT_STORE = "default"
--- a/libs/placement/src/bergamotsail/placement/_owners.py
+++ b/libs/placement/src/bergamotsail/placement/_owners.py
@@ -148,7 +148,7 @@
     def _stop(self, target: str) -> None:
         owner = self.by_target.pop(target)
         self._start_task(owner.__aexit__(None, None, None))
-        logging.info("place: Released ownership of %s.", target)
+        logging.info("place: Ownership of %s ended.", target)
 
     def _start_task(self, work: collections.abc.Coroutine) -> None:
         task = asyncio.create_task(work)
--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -147,10 +147,10 @@
 class Reading:
     """The prefill backlog of one engine and the estimate of its speed.
 
-    The first answer to a prompt shows that its prefill has ended. It
-    corrects the estimated backlog, so that errors don't accumulate. An
-    engine preempts prefill for a more urgent prompt, so a request waits only
-    for prompts that are at least as urgent.
+    A prompt is unread until its prefill has ended, which its first answer
+    shows. Each first answer corrects the estimated backlog, so that errors
+    don't accumulate. An engine preempts prefill for a more urgent prompt, so
+    a request waits only for prompts that are at least as urgent.
     """
 
     def __init__(self, pool: PoolPace) -> None:
@@ -159,7 +159,7 @@
         self._unread: collections.OrderedDict[tuple[str, str], _Unread] = (
             collections.OrderedDict()
         )
-        # When the engine started to read the oldest unread prompt.
+        # When the prefill of the oldest unread prompt started.
         self._prefill_since = 0.0
         self._pace = pool.pace()
         self._pace_at = float("-inf")
@@ -183,7 +183,7 @@
         self._backlog_at = float("-inf")
 
     def drop(self, key: tuple[str, str]) -> None:
-        """Remove a prompt that was read or will not be."""
+        """Remove a prompt whose prefill has ended or is no longer needed."""
         if self._unread.pop(key, None) is not None:
             self._backlog_at = float("-inf")
 
@@ -196,8 +196,8 @@
         is_oldest = key == next(iter(self._unread))
         self.drop(key)
         if not is_oldest:
-            # It was read ahead of the oldest prompt, which was delayed by
-            # its prefill time.
+            # It overtook the oldest prompt, whose prefill was delayed by its
+            # own.
             prefill_s = self.pace(now).prefill_s(unread.tokens)
             self._prefill_since = min(
                 self._prefill_since + prefill_s, max(self._prefill_since, now)
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -127,12 +127,13 @@
         self._term_at = 0.0
         self._orders_by_target: dict[str, _engine_orders.EngineOrders] = {}
         self._record_by_target: dict[str, _holding.EngineRecord] = {}
-        # The target of each running request, by daemon boot and request.
+        # Targets of running requests, by the daemon's boot id and request.
         self._target_by_request: dict[str, dict[str, str]] = {}
         self._decider = _decisions.Decider(
             self._record_by_target, policy, settings, self._is_current
         )
         self._waiters: list[_waiting.Waiter] = []
+        # Newest version of each adapter and when it was first seen.
         self._newest_version_by_name: dict[
             _holding.AdapterName, tuple[int, float]
         ] = {}
@@ -142,15 +143,17 @@
         self._new_start_callback: (
             collections.abc.Callable[[str, int], None] | None
         ) = None
-        # How many incarnations of each engine this term has managed so far.
+        # Number of incarnations of each engine in this term so far. It
+        # offsets the fencing numbers of the next one.
         self._incarnation_count_by_name: collections.Counter[str] = (
             collections.Counter()
         )
         self._pace_by_pool: dict[str, _pace.PoolPace] = {}
         self._schedule_timer: asyncio.TimerHandle | None = None
         self._schedule_took_s = 0.0
-        # Adapters whose load could not be started by the last decision.
+        # Adapters whose requests wait without a load in progress.
         self._blocked: set[_holding.AdapterName] = set()
+        # Adapters that the current scheduling pass has still to decide for.
         self._names_left: collections.deque[_holding.AdapterName] = (
             collections.deque()
         )
--- a/libs/placement/src/bergamotsail/placement/_residents.py
+++ b/libs/placement/src/bergamotsail/placement/_residents.py
@@ -69,7 +69,7 @@
             resident.draining = False
 
     def pin(self, name: str) -> None:
-        """Keep an adapter from eviction while a run uses it."""
+        """Prevent the eviction of an adapter while a run uses it."""
         self.by_name[name].pins += 1
 
     def unpin(self, name: str, incarnation: str | None) -> None:
@@ -79,7 +79,10 @@
             resident.pins = max(0, resident.pins - 1)
 
     def doubt(self, name: str, incarnation: str | None, now: float) -> None:
-        """Keep an adapter from eviction, as a run on it may continue."""
+        """Prevent eviction until a later report shows the adapter idle.
+
+        A run on it may continue at the engine.
+        """
         resident = self.by_name.get(name)
         if resident is not None and incarnation == self.incarnation:
             resident.doubt_since = now
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -12,7 +12,7 @@
 
 # How many former holders a log line names.
 LOGGED_HOLDERS = 3
-# Delay before a failed note to the log is retried.
+# Delay before recording this process in the log is retried.
 NOTE_RETRY_S = 0.25
 
 
@@ -75,7 +75,7 @@
             self._note_task = asyncio.create_task(work)
 
     def stop(self) -> None:
-        """Cancel a note in progress."""
+        """Cancel the recording of this process, if in progress."""
         if self._note_task is not None:
             self._note_task.cancel()
 
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -2,10 +2,10 @@
 
 The leader of the replicated log gives the orders, fenced by its term.
 Elections may follow each other quickly, but the right to give orders must
-not change hands as fast. A process that gave orders, and after which another
-one may have given some, waits until its own last order is one lease old. A
-replica that gave none recently starts at once, so that failover after the
-loss of a leader costs no wait.
+not return to an earlier process as quickly. A process that gave orders, and
+after which another one may have given some, waits until its own last order is
+one lease old. A replica that gave none recently starts at once, so that a
+failover after the loss of a leader causes no wait.
 """
 
 import abc
@@ -17,7 +17,7 @@
 
 
 class HolderRegistry(abc.ABC):
-    """Record, kept outside this process, of who gave orders."""
+    """Persists outside this process which instances gave orders."""
 
     @property
     @abc.abstractmethod
@@ -118,8 +118,8 @@
         """Whether the last orders of all other processes are one lease old.
 
         Once this is recorded, a former holder that restarted and lost the
-        time of its last order need not wait. So a restart of all processes
-        costs no wait.
+        time of its last order need not wait. A restart of all processes then
+        causes no wait.
         """
         held_s = now - self._noted_at
         return self._noted and not self._alone and held_s > self._lease_s
