--- a/libs/catalogue/src/bergamotsail/catalogue/_commands.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_commands.py
@@ -77,7 +77,16 @@
 
 
 class ClaimState(enum.StrEnum):
-    """The state of an idempotency key."""
+    """The state of an idempotency key.
+
+    WON: this attempt holds the key and may send its call.
+    HELD: an attempt holds the key and its outcome is not recorded yet.
+    DONE: the response is recorded.
+    NOT_RUN: the call did not run; another attempt may claim the key.
+    UNKNOWN: the call may have run, but its response was lost.
+    EXPIRED: the key is older than the floor; its claim, if any, was dropped.
+    OTHER_REQUEST: the key was used for another request.
+    """
 
     WON = "won"
     HELD = "held"
--- a/libs/catalogue/src/bergamotsail/catalogue/_entries.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_entries.py
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """A member of the consortium.
+    """A customer's team, which owns adapters and services and calls them.
 
     Args:
         token_sha256: SHA-256 of the token its callers send, in hex.
@@ -97,12 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """Selects calls of a service by method and path.
-
-    Args:
-        method: the HTTP method.
-        path_prefix: prefix of the path.
-    """
+    """Selects calls of a service by HTTP method and path prefix."""
 
     method: str
     path_prefix: str
@@ -265,7 +260,8 @@
         if value.default_version not in value.versions:
             problems.append("default_version must be one of versions.")
         problems.extend(
-            f"{version!r} is not a valid version; use letters, digits, dots."
+            f"{version!r} is not a valid version. Use the characters of an "
+            "id: letters, digits, dots, dashes and underscores."
             for version in value.versions
             if not ID_PATTERN.fullmatch(version)
         )
--- a/libs/catalogue/src/bergamotsail/catalogue/_routes.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_routes.py
@@ -15,7 +15,12 @@
 
 
 class RouteKind(enum.StrEnum):
-    """Whether requests of a route may run again."""
+    """Whether requests of a route may run more than once.
+
+    IDEMPOTENT: they may.
+    ONCE: they may not.
+    STREAM: they may if the route is resumable.
+    """
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
--- a/libs/catalogue/src/bergamotsail/catalogue/_view.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_view.py
@@ -8,11 +8,11 @@
 from bergamotsail.catalogue import _routes
 from bergamotsail import wire
 
-# Values of at least this many characters of JSON are sent compressed; less
-# than a packet or two gains nothing. Each change of a route table is sent to
-# every daemon in full. A table of 1,500 routes takes 376 kB as text and 18 kB
-# (similar names) to 88 kB (random names) compressed; compressing takes 3 ms
-# and is done once for all daemons.
+# Values of at least this many characters of JSON are sent compressed; shorter
+# ones fit into one or two packets anyway. Each change of a route table is sent
+# to every daemon in full. A table of 1,500 routes takes 376 kB as text and
+# 18 kB (similar names) to 88 kB (random names) compressed; compressing takes
+# 3 ms and is done once for all daemons.
 COMPRESS_MIN_CHARS = 4_096
 COMPRESS_LEVEL = 1
 
@@ -200,8 +200,8 @@
     def effects(self) -> collections.abc.Iterator[Effect]:
         """Return effects that rebuild the current state of this view.
 
-        They are encoded as they are read, from a copy of the entries, so
-        later changes of the view do not show.
+        They are encoded lazily from a copy of the entries, so they don't
+        include later changes of the view.
         """
         entries = [
             entry
--- a/libs/targets/src/bergamotsail/targets/_adapter_engine.py
+++ b/libs/targets/src/bergamotsail/targets/_adapter_engine.py
@@ -13,7 +13,15 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """The response of an engine to an order."""
+    """The response of an engine to an order.
+
+    STARTED: accepted, but not complete yet.
+    HOLDS: the engine is in the ordered state.
+    OTHERWISE: rejected, as the engine is in another state than expected.
+    FENCED: rejected, as the engine has seen a higher fencing token.
+    OTHER_INSTANCE: rejected, as the order names another incarnation.
+    INVALID: rejected as malformed.
+    """
 
     STARTED = "started"
     HOLDS = "holds"
@@ -34,7 +42,7 @@
         expected: number of orders that the engine has accepted so far. The
             engine ignores the order if the number differs, so an order that
             arrives late has no effect.
-        fence: fencing token; increases with each order holder.
+        fence: fencing token, higher for each new order holder.
         gate: called right before the order is written; if it returns False,
             nothing is sent.
     """
@@ -59,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterReport:
-    """The state of an engine, a few hundred milliseconds old.
+    """The state of an engine a few hundred milliseconds ago.
 
     Args:
         models: loaded base models.
@@ -67,8 +75,8 @@
         pending: adapters that are being loaded.
         busy: whether an order for a base model is in progress.
         sequence: number of orders accepted so far.
-        queued: number of requests that wait.
-        running: number of requests that run.
+        queued: number of waiting requests.
+        running: number of running requests.
         at_hand: base models with a local copy, which can be loaded without
             the weight store.
         start_time_ms: start time of the engine in milliseconds of Unix time,
