--- a/features/holders.feature
+++ b/features/holders.feature
@@ -1,17 +1,17 @@
-Feature: Who gives orders to an engine, over changes of the leader
+Feature: Which replica gives orders to an engine, across leader changes
   Guards against an engine that takes orders from one replica, then from
   another, then from the first again within one lease, after two elections
   in a row.
 
-  Scenario: No holder of orders has two turns within a lease
-    When the lead moves away and back, with and without restarts
-    Then no engine saw holders take turns
-    When the lead moves at random with 4 seeds
-    Then no engine saw holders take turns
+  Scenario: Order holders don't alternate at an engine within a lease
+    When leadership moves away and back, with and without restarts
+    Then no order holders alternate at an engine
+    When leadership moves at random with 4 seeds
+    Then no order holders alternate at an engine
 
-  Scenario Outline: <scenario>: a wait only where it guards something
-    When the scenario <scenario> of holders runs
-    Then no engine saw holders take turns
+  Scenario Outline: A leader waits only where it must: <scenario>
+    When the order holder scenario <scenario> runs
+    Then no order holders alternate at an engine
 
     Examples:
       | scenario                        |
@@ -22,10 +22,10 @@
       | initial_delay_in_each_term      |
       | resident_adapters_during_wait   |
 
-  Scenario: A tenure keeps to the lease over any elections and restarts
+  Scenario: Tenures respect the lease in any history of elections and restarts
     When 400 random histories of elections are tried
-    Then no engine saw holders take turns
+    Then no order holders alternate at an engine
 
-  Scenario: Every guard of the right to order that is switched off is noticed
-    When each guard of the right to order is switched off
+  Scenario: Every disabled guard of the right to order is noticed
+    When each guard of the right to order is disabled
     Then each is noticed there
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,9 +1,9 @@
-Feature: The holder of an engine's orders
+Feature: Orders of the placer to engines
   Orders are not answered or are executed late, or their answers are lost.
   The fake engine is the oracle: loads must never exceed its adapter slots.
 
-  Scenario Outline: <scenario> keeps the ledger true
-    When the ledger scenario <scenario> runs
+  Scenario Outline: The placer passes the scenario <scenario>
+    When the placer scenario <scenario> runs
     Then no promise is broken
 
     Examples:
@@ -23,10 +23,10 @@
       | one_store_load_at_a_time       |
       | new_default_version            |
 
-  Scenario: Random loads with late and lost orders keep the ledger true
+  Scenario: Late and lost orders under random load never overfill an engine
     When 24 random loads are tried
     Then no promise is broken
 
-  Scenario: Every guard of the ledger that is switched off is noticed
-    When each guard of the ledger is switched off
+  Scenario: Every disabled guard of the placer is noticed
+    When each guard of the placer is disabled
     Then each is noticed there
--- a/features/starts.feature
+++ b/features/starts.feature
@@ -1,10 +1,10 @@
-Feature: Targets that start again under the name that they had
-  A restart voids what is known of the target: its ledger, the requests
-  counted there, its copies and its faults. The list of targets lags, and a
-  start may have no start time.
+Feature: Targets that restart under the same name
+  A restart makes the record of the target obsolete: its orders, the requests
+  counted there, its copies and its faults. The list of targets lags, and the
+  start time of a target may be unknown.
 
-  Scenario Outline: <scenario>: what is known is of this start
-    When the starts go as in <scenario>
+  Scenario Outline: A record covers one start of its target: <scenario>
+    When the restart scenario <scenario> runs
     Then no promise is broken
 
     Examples:
@@ -15,14 +15,14 @@
       | same_start_listed_again  |
       | start_listed_late        |
 
-  Scenario: Random loads with engines that start again keep the ledger true
-    When 16 random loads with starts are tried
+  Scenario: Engines that restart under random load are never overfilled
+    When 16 random loads with restarts are tried
     Then no promise is broken
 
-  Scenario: A start that was told stays in force, however old the list is
-    When 300 random histories of starts are tried
+  Scenario: A stale list never brings back an earlier start
+    When 300 random histories of restarts are tried
     Then no promise is broken
 
-  Scenario: Every guard of a start that is switched off is noticed
-    When each guard of a start is switched off
+  Scenario: Every disabled guard against obsolete starts is noticed
+    When each guard against obsolete starts is disabled
     Then each is noticed there
--- a/features/steps/ledger.py
+++ b/features/steps/ledger.py
@@ -1,4 +1,4 @@
-"""Steps that test the ledger of orders to engines."""
+"""Steps that test the orders of the placer to engines."""
 
 import multiprocessing
 
@@ -9,7 +9,7 @@
 JOBS = 6
 
 
-@behave.when("the ledger scenario {name} runs")
+@behave.when("the placer scenario {name} runs")
 def run_scenario(context, name: str) -> None:
     context.faults = ledger.run_scenario(name)
 
@@ -21,7 +21,7 @@
     context.faults = [fault for faults in found for fault in faults]
 
 
-@behave.when("each guard of the ledger is switched off")
+@behave.when("each guard of the placer is disabled")
 def run_mutants(context) -> None:
     context.mutants = ledger.MUTANTS
     numbers = range(len(ledger.MUTANTS))
--- a/features/steps/starts.py
+++ b/features/steps/starts.py
@@ -1,4 +1,4 @@
-"""Steps that test targets which restart under the same name."""
+"""Steps that test targets that restart under the same name."""
 
 import multiprocessing
 
@@ -10,19 +10,19 @@
 JOBS = 6
 
 
-@behave.when("the starts go as in {name}")
+@behave.when("the restart scenario {name} runs")
 def start_scenario(context, name: str) -> None:
     context.faults = starts.run_scenario(name)
 
 
-@behave.when("{count:d} random loads with starts are tried")
+@behave.when("{count:d} random loads with restarts are tried")
 def random_starts(context, count: int) -> None:
     with multiprocessing.get_context("fork").Pool(JOBS) as pool:
         found = pool.map(starts.run_random, range(count), chunksize=1)
     context.faults = [fault for faults in found for fault in faults]
 
 
-@behave.when("{count:d} random histories of starts are tried")
+@behave.when("{count:d} random histories of restarts are tried")
 def histories(context, count: int) -> None:
     context.faults = []
     settings = hypothesis.settings(
@@ -36,7 +36,7 @@
         context.faults = [str(error)]
 
 
-@behave.when("each guard of a start is switched off")
+@behave.when("each guard against obsolete starts is disabled")
 def start_mutants(context) -> None:
     context.mutants = starts.MUTANTS
     numbers = range(len(starts.MUTANTS))
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -1,14 +1,14 @@
 """Which replica issues orders to an engine, across leader elections.
 
 Guards against an engine that takes orders from one replica, then from
-another, and then from the first again, all within one 3 s lease. The gaps
-observed were 1.8 s and 0.9 s. It took no more than two elections in a row,
-without a fault of the network, a disk or a process: the right to order moved
-with each election, and no record said who had ordered before and until when.
-``away_and_back`` reproduces it.
-
-Fencing tokens don't reveal the failure: they only rose (2, 3, 4), each
-replica led the log when it ordered, and no order was refused. The tests
+another, and then from the first again, all within one 3 s lease. Gaps of
+1.8 s and 0.9 s were observed. Two elections in a row are enough, without any
+fault of the network, a disk or a process, if the right to order moves with
+each election and nothing records who ordered before and until when.
+``away_and_back`` reproduces this.
+
+Fencing tokens don't reveal the failure: they increase (2, 3, 4), each replica
+is the leader when it sends an order, and no order is refused. The tests
 therefore run real replicas in virtual time and check the sequence of order
 holders at each engine.
 """
@@ -309,7 +309,7 @@
         faults = cluster.faults()
         ordered = {holder for _, holder in cluster.accepted("e0")}
         if ordered != {first.name, other.name}:
-            faults.append("Not both replicas issued orders.")
+            faults.append("Only one of the two replicas issued orders.")
         if await cluster.ask_until_served(5.0) is None:
             faults.append("It never ordered again.")
         return faults
@@ -346,7 +346,7 @@
 
 
 async def reelected_leader_orders_at_once() -> list[str]:
-    """A leader that is reelected without another between doesn't wait."""
+    """A leader that is reelected with no other in between doesn't wait."""
     async with ReplicaCluster(4, engines=1) as cluster:
         first, _ = await cluster.wait_for_orders()
         node = first.replica.node
@@ -359,7 +359,7 @@
 
 
 async def no_wait_after_full_restart() -> list[str]:
-    """No leader waits after all restart, if other holders' leases expired."""
+    """After a restart of all, no leader waits if all leases have expired."""
     faults = []
     for seed in range(4):
         async with ReplicaCluster(seed, engines=1) as cluster:
@@ -398,7 +398,7 @@
 
 
 async def initial_delay_in_each_term() -> list[str]:
-    """With engines that ignore fences, a reelected leader waits too.
+    """With engines that ignore fencing, a reelected leader waits too.
 
     Its own orders of the previous term may still be in flight.
     """
@@ -558,7 +558,7 @@
 
 
 def _begin_at_once(tenure, fence, name, former, now) -> None:
-    """Begin regardless of the former holders, for a mutant."""
+    """Start a term regardless of the former holders, for a mutant."""
     tenure.fence = fence
     tenure._noted = True
 
@@ -584,27 +584,27 @@
 # fail, patched attribute.
 MUTANTS = (
     (
-        "order before it is noted",
+        "order before being recorded",
         "recorded_before_first_order",
         (placement.Tenure, "may_order", _due_unnoted),
     ),
     (
-        "order whoever ordered before",
+        "order regardless of former holders",
         "away_and_back",
         (placement.Tenure, "begin", _begin_at_once),
     ),
     (
-        "remember for ever who ordered before",
+        "never drop former holders",
         "no_wait_after_full_restart",
         (placement.Tenure, "alone_due", lambda *_: False),
     ),
     (
-        "forget at once who ordered before",
+        "drop former holders at once",
         "restarted_holder",
         (placement.Tenure, "alone_due", _alone_at_once),
     ),
     (
-        "forget the last order",
+        "forget the time of the last order",
         "away_and_back",
         (placement.Tenure, "sending", _forget_order),
     ),
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -1,9 +1,9 @@
-"""A real placer before fake engines whose orders are lost or delayed.
+"""Runs the placer against fake engines whose orders are lost or delayed.
 
 The fake engine is the test oracle: it knows which adapters it holds and
 records each load that exceeds its adapter slots. The placer, which issues the
-orders and keeps a ledger of them for each engine, is the production code. All
-run in virtual time.
+orders and keeps a record of each engine, is the production code. All run in
+virtual time.
 """
 
 import asyncio
@@ -464,10 +464,10 @@
 
 
 async def dropped_load() -> list[str]:
-    """A load that settling removed from the ledger is not sent.
+    """A load that reconciliation removed from the record is not sent.
 
     The load is still waiting for the lock of the engine's orders when the
-    ledger is settled.
+    record is reconciled with a report.
     """
     async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
@@ -527,7 +527,7 @@
 
 
 async def initial_order_delay() -> list[str]:
-    """A new leader waits before it orders engines that check no fences."""
+    """A new leader waits before it orders engines that ignore fencing."""
     async with PlacerHarness(
         1, FaultRates(), engines=1, quiet_s=3.0
     ) as harness:
@@ -545,7 +545,7 @@
 
 
 async def takeover_of_busy_engine() -> list[str]:
-    """A new leader evicts no adapter whose uses are not reported yet."""
+    """A new leader evicts no adapter while its uses are not reported yet."""
     async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
         await harness.request("a1", 0.1)
@@ -619,7 +619,7 @@
 
 
 async def full_engine_with_copy() -> list[str]:
-    """A request goes to another engine if its home engine stays full."""
+    """A request goes elsewhere if the engine with the copy stays full."""
     async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         long = [
@@ -634,7 +634,7 @@
         took_s = asyncio.get_running_loop().time() - before
         await asyncio.gather(*long)
         if harness.refused or took_s > 1.5:
-            return [f"The request waited {took_s:.1f} s for its full home."]
+            return [f"The request waited {took_s:.1f} s for the full engine."]
         return []
 
 
@@ -672,7 +672,7 @@
 
 
 async def one_store_load_at_a_time() -> list[str]:
-    """The store serves one base model at a time; local disks don't wait."""
+    """The store serves one model at a time; loads from disk never wait."""
     async with PlacerHarness(1, FaultRates(), engines=5) as harness:
         engines = list(harness.engine_by_id.values())
         for number, engine in enumerate(engines):
@@ -694,7 +694,7 @@
 
 
 async def many_waiting_requests() -> list[str]:
-    """Many waiting requests cause few rounds of decisions.
+    """Many waiting requests cause few scheduling passes.
 
     Otherwise the event loop of the leader has no time for other work.
     """
@@ -716,7 +716,7 @@
             for n in range(200)
         ]
         await asyncio.gather(*tasks)
-        return [f"{decided} rounds of decisions"] if decided > 17 else []
+        return [f"{decided} scheduling passes"] if decided > 17 else []
 
 
 async def new_default_version() -> list[str]:
@@ -752,42 +752,42 @@
 # fail, patched attribute.
 MUTANTS = (
     (
-        "send what was settled away",
+        "send a load that reconciliation removed",
         "dropped_load",
         (placement.EngineOrders, "_still_planned", lambda *_: True),
     ),
     (
-        "order after the lead is lost",
+        "send orders after leadership is lost",
         "no_order_without_leadership",
         (placement.EngineOrders, "_gate_open", lambda _: True),
     ),
     (
-        "wait at home for ever",
+        "wait forever for the engine with the copy",
         "full_engine_with_copy",
         (_place_policy, "WAITING_WEIGHT", 0.0),
     ),
     (
-        "evict before entries have told",
+        "evict before entries report their uses",
         "takeover_of_busy_engine",
         (_placer, "USES_REPORTED_S", 0.0),
     ),
     (
-        "decide at once, always",
+        "leave no time between scheduling passes",
         "many_waiting_requests",
         (_placer, "SCHEDULE_SPACING", 0.0),
     ),
     (
-        "begin on an old version",
+        "start requests on an old version",
         "new_default_version",
         (_placer, "OLD_VERSION_S", 1e9),
     ),
     (
-        "never tend to what was left open",
+        "never reconcile an unknown state",
         "leadership_briefly_unconfirmed",
         (placement.EngineOrders, "reconcile", lambda _: None),
     ),
     (
-        "leave the first place counted",
+        "keep counting the first grant",
         "repeated_request",
         (
             _placer.Placer,
@@ -798,7 +798,7 @@
         ),
     ),
     (
-        "load all models at once",
+        "load all base models concurrently",
         "one_store_load_at_a_time",
         (
             placement.StoreLoadLock,
@@ -807,7 +807,7 @@
         ),
     ),
     (
-        "say nothing of what is expected",
+        "send orders without the expected sequence",
         "random",
         (placement.EngineOrders, "_order", _order_without_expected),
     ),
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -81,7 +81,7 @@
 
     @property
     def records(self) -> list[placement.EngineRecord]:
-        """What the placer has recorded of each engine."""
+        """The placer's records of its engines."""
         orders = self.placer._orders_by_target.values()
         return [each.record for each in orders]
 
@@ -115,7 +115,7 @@
         )
     if record.sequence != engine.sequence:
         faults.append(
-            f"The ledger counts {record.sequence} orders, the engine "
+            f"The record counts {record.sequence} orders, the engine "
             f"{engine.sequence}."
         )
     if record.has_copy((ledger.MODEL, "a1")):
@@ -137,12 +137,12 @@
         harness.listed_by_name["e0"] = BORN_MS + RESTART_GAP_MS
         harness.read_list()
         if harness.records != [before]:
-            faults.append("The lagging list discarded the new ledger.")
+            faults.append("The lagging list discarded the new record.")
         return faults
 
 
 async def start_shown_by_list() -> list[str]:
-    """The list is the first to show a later start."""
+    """The list shows a later start before the engine reports it."""
     async with RestartHarness(1) as harness:
         await harness.fill()
         harness.served = 0
@@ -153,7 +153,7 @@
 
 
 async def no_start_time() -> list[str]:
-    """No start time is known; fewer orders and no adapters show a restart."""
+    """Without start times, fewer orders and no adapters show a restart."""
     async with RestartHarness(1) as harness:
         harness.listed_by_name["e0"] = None
         harness.engine_by_id["e0"].restart(None)
@@ -166,7 +166,7 @@
 
 
 async def same_start_listed_again() -> list[str]:
-    """A start that is listed again, or not listed, discards no ledger."""
+    """A start time that is listed again, or not listed, discards no record."""
     async with RestartHarness(1) as harness:
         await harness.fill()
         before = harness.records
@@ -175,12 +175,12 @@
             harness.read_list()
             await asyncio.sleep(1.0)
         if harness.records != before:
-            return ["The ledger of an unchanged start was discarded."]
+            return ["The record of an unchanged start was discarded."]
         return []
 
 
 async def start_listed_late() -> list[str]:
-    """A start time that is listed late may be that of the known start."""
+    """A start time that is listed late is that of the recorded start."""
     async with RestartHarness(1) as harness:
         harness.fleet = control.Fleet()
         harness.listed_by_name["e0"] = None
@@ -191,7 +191,7 @@
         harness.read_list()
         await asyncio.sleep(1.0)
         if harness.records != before:
-            return ["A start time that was listed late discarded the ledger."]
+            return ["A start time that was listed late discarded the record."]
         harness.engine_by_id["e0"].restart(BORN_MS + RESTART_GAP_MS)
         await harness.request("a0", 0.05)
         harness.served = 0
@@ -359,27 +359,27 @@
 # fail, patched attribute.
 MUTANTS = (
     (
-        "one fencing number for all starts",
+        "use one fencing number for all starts",
         "random",
         (placement.EngineOrders, "_fence", property(lambda o: o._term)),
     ),
     (
-        "believe a report of whichever start",
+        "accept a report of any start",
         "start_reported_by_engine",
         (placement.EngineOrders, "_report", _report_unchecked),
     ),
     (
-        "know an engine by its name alone",
+        "identify an engine by its name alone",
         "start_shown_by_list",
         (targets.Incarnation, "__str__", lambda start: start.name),
     ),
     (
-        "see no start in fewer orders",
+        "ignore that a report has fewer orders",
         "no_start_time",
         (placement.EngineRecord, "shows_new_start", lambda *_: False),
     ),
     (
-        "believe the list, however old",
+        "accept a list however old",
         "start_reported_by_engine",
         (
             control.Fleet,
@@ -391,7 +391,7 @@
 
 
 def _forget(fleet: control.Fleet, instance: targets.Instance) -> None:
-    """Replace what was known of a target with its entry in the list."""
+    """Replace the state of a target by its entry in the list."""
     fleet.remember(instance, False)
 
 
