--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -475,7 +475,7 @@
         now = asyncio.get_running_loop().time()
         async with orders._lock:
             orders.start_load((MODEL, "a1"), None, None, now)
-            orders.settle()
+            orders.reconcile()
             await asyncio.sleep(1.5)
         await asyncio.sleep(0.5)
         sent = harness.engine_by_id["e0"].sequence
@@ -784,7 +784,7 @@
     (
         "never reconcile an unknown state",
         "leadership_briefly_unconfirmed",
-        (placement.EngineOrders, "reconcile", lambda _: None),
+        (placement.EngineOrders, "check_state", lambda _: None),
     ),
     (
         "keep counting the first grant",
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -16,8 +16,8 @@
 
 # Maximum lag of reports behind the engine's state.
 REPORT_LAG_S = 0.3
-SETTLE_RETRY_S = 0.3
-MAX_SETTLE_RETRY_S = 1.5
+RECONCILE_RETRY_S = 0.3
+MAX_RECONCILE_RETRY_S = 1.5
 # Expected duration of an adapter load from a local copy and from the store.
 # A load is first confirmed after this time.
 COPY_LOAD_S = 0.025
@@ -120,19 +120,19 @@
         self._lock = asyncio.Lock()
         self._ordered_at = 0.0
         self._polled_at = 0.0
-        self._settling: asyncio.Task | None = None
+        self._reconciling: asyncio.Task | None = None
         self._tasks: set[asyncio.Task] = set()
         self._stopped = False
 
     def stop(self) -> None:
         """Cancel all tasks and send no more orders."""
         self._stopped = True
-        if self._settling is not None:
-            self._settling.cancel()
+        if self._reconciling is not None:
+            self._reconciling.cancel()
         for task in self._tasks:
             task.cancel()
 
-    def reconcile(self) -> None:
+    def check_state(self) -> None:
         """Reconcile an unknown state, or check for unreported runs.
 
         The state may have been left unknown while the leadership was
@@ -140,7 +140,7 @@
         until no unreported request can run there.
         """
         if not self.record.known:
-            self.settle()
+            self.reconcile()
             return
         now = self._clock.now()
         since_s = now - self._polled_at
@@ -180,19 +180,19 @@
         runs = report.running + report.queued
         self.record.compare_runs(runs, seen_until)
 
-    def settle(self) -> None:
+    def reconcile(self) -> None:
         """Mark the state as unknown and reconcile it with a report."""
         self.record.known = False
         if not self._leads():
             # A new leader starts records of its own. If this process leads
-            # again, reconcile() resumes the reconciliation.
+            # again, check_state() resumes the reconciliation.
             return
-        if self._settling is None or self._settling.done():
-            work = observe.timed(self._metrics, "report", self._settle)
-            self._settling = asyncio.create_task(work)
+        if self._reconciling is None or self._reconciling.done():
+            work = observe.timed(self._metrics, "report", self._reconcile)
+            self._reconciling = asyncio.create_task(work)
 
-    async def _settle(self) -> None:
-        retry_s = SETTLE_RETRY_S
+    async def _reconcile(self) -> None:
+        retry_s = RECONCILE_RETRY_S
         while self._leads():
             since_s = self._clock.now() - self._ordered_at
             await self._clock.sleep(max(0.0, REPORT_LAG_S - since_s))
@@ -202,13 +202,13 @@
                 self._log("report_failed", error=error.message)
                 self.record.add_fault(self._clock.now())
                 await self._clock.sleep(retry_s)
-                retry_s = min(retry_s * 2, MAX_SETTLE_RETRY_S)
+                retry_s = min(retry_s * 2, MAX_RECONCILE_RETRY_S)
                 continue
             ordered_recently = (
                 self._clock.now() - self._ordered_at < REPORT_LAG_S
             )
             if report.busy or ordered_recently:
-                await self._clock.sleep(SETTLE_RETRY_S)
+                await self._clock.sleep(RECONCILE_RETRY_S)
                 continue
             if self.record.shows_new_start(report):
                 self._log("new_start", sequence=report.sequence)
@@ -242,7 +242,7 @@
         if not self._spec.models or self.record.leaving:
             return False
         if not self._gate_open():
-            await self._clock.sleep(SETTLE_RETRY_S)
+            await self._clock.sleep(RECONCILE_RETRY_S)
             return True
         model = self._spec.models[0]
         if model.name in report.at_hand:
@@ -347,7 +347,7 @@
         if outcome is Outcome.FENCED:
             self.record.fenced = True
         self._log("not_accepted", outcome=str(outcome))
-        self.settle()
+        self.reconcile()
         return False
 
     async def _confirm(
@@ -361,8 +361,8 @@
                 return
             if self._leads() and not self._gate_open():
                 # No order may be sent yet; a report shows the outcome too.
-                await self._clock.sleep(SETTLE_RETRY_S)
-                self.settle()
+                await self._clock.sleep(RECONCILE_RETRY_S)
+                self.reconcile()
                 return
             async with self._lock:
                 order = self._order(name, slot.version, self.record.sequence)
@@ -381,10 +381,10 @@
                 return
             if outcome is not Outcome.STARTED:
                 self._log("not_confirmed", outcome=str(outcome))
-                self.settle()
+                self.reconcile()
                 return
             await self._clock.sleep(CONFIRM_INTERVAL_S)
-        self.settle()
+        self.reconcile()
 
     def _order(
         self,
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -330,7 +330,7 @@
         elif ended.outcome is Outcome.ABSENT:
             if grant is not None:
                 orders.record.slot_by_name.pop(grant.name, None)
-            orders.settle()
+            orders.reconcile()
 
     # Callbacks from the session coordinator.
 
@@ -456,7 +456,7 @@
         self._record_by_target[info.id] = orders.record
         if self._copy_registry is not None:
             orders.record.restore_copies(self._copy_registry.names(info.id))
-        orders.settle()
+        orders.reconcile()
 
     # Terms.
 
@@ -496,7 +496,7 @@
             if self._leadership.holds():
                 self._rights.claim()
                 for orders in self._orders_by_target.values():
-                    orders.reconcile()
+                    orders.check_state()
                 self._refresh_versions(self._clock.now())
                 self._schedule_soon()
                 if self._clock.now() - logged_at > STATE_LOG_INTERVAL_S:
