--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -295,7 +295,7 @@
         fault_rates: FaultRates,
         engines: int = 2,
         slots: int = 3,
-        quiet_s: float = 0.0,
+        initial_delay_s: float = 0.0,
     ) -> None:
         self.rng = random.Random(seed)
         self.spec = catalogue.EngineSpec(
@@ -318,7 +318,7 @@
             self.engine_of,
             placement.CopyAffinityPolicy(),
             observe.Metrics(),
-            tenure=placement.Tenure(0.0, 0.0, quiet_s),
+            tenure=placement.Tenure(0.0, 0.0, initial_delay_s),
         )
         self.served = 0
         self.refused = 0
@@ -529,7 +529,7 @@
 async def initial_order_delay() -> list[str]:
     """A new leader waits before it orders engines that ignore fencing."""
     async with PlacerHarness(
-        1, FaultRates(), engines=1, quiet_s=3.0
+        1, FaultRates(), engines=1, initial_delay_s=3.0
     ) as harness:
         await asyncio.sleep(0.5)
         asking = asyncio.create_task(harness.request("a1", 0.1, 6.0))
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -15,7 +15,7 @@
 
 # Concurrent loads that an engine accepts according to its protocol; it
 # refuses further ones.
-MAX_IN_TRANSIT = 4
+MAX_CONCURRENT_LOADS = 4
 # Minimum cost of running on a resident engine before the adapter is loaded on
 # another one: twice the p50 of a load from a local copy with its orders
 # (0.05 s).
@@ -258,7 +258,10 @@
 
         ``(None,)`` if a slot is free, None if no load can start now.
         """
-        if not record.may_load or record.in_transit() >= MAX_IN_TRANSIT:
+        if (
+            not record.may_load
+            or record.unconfirmed_loads() >= MAX_CONCURRENT_LOADS
+        ):
             return None
         if len(record.slot_by_name) < record.capacity:
             return (None,)
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -293,7 +293,7 @@
             victim="/".join(victim) if victim else None,
             copy=record.has_copy(name),
             sequence=record.sequence,
-            in_transit=record.in_transit(),
+            in_transit=record.unconfirmed_loads(),
         )
         self._start_task(self._load, name, slot, victim)
 
--- a/libs/placement/src/bergamotsail/placement/_holding.py
+++ b/libs/placement/src/bergamotsail/placement/_holding.py
@@ -151,7 +151,7 @@
         """Number of requests granted and not yet released."""
         return len(self.grant_by_request)
 
-    def in_transit(self) -> int:
+    def unconfirmed_loads(self) -> int:
         """Return the number of adapters whose load is not confirmed."""
         return sum(
             slot.state is not SlotState.READY
@@ -164,7 +164,7 @@
         return (
             f"running={self.running} tokens={self.tokens}"
             f" used={sum(slot.uses > 0 for slot in slots)}"
-            f" slots={len(slots)} in_transit={self.in_transit()}"
+            f" slots={len(slots)} in_transit={self.unconfirmed_loads()}"
             f" known={int(self.known)} leaving={int(self.leaving)}"
             f" faults={self.faults(now):.1f}"
             f" backlog_s={self.reading.backlog_s(now):.2f}"
--- a/libs/placement/src/bergamotsail/placement/_tenure.py
+++ b/libs/placement/src/bergamotsail/placement/_tenure.py
@@ -73,19 +73,19 @@
             may have given orders after it.
         started_at: when this process started; orders of its previous run are
             older than that.
-        quiet_s: how long the leader of each new term waits if engines ignore
-            fencing numbers, so that all orders of the previous term,
-            including its own, have ended.
+        initial_delay_s: how long the leader of each new term waits if
+            engines ignore fencing numbers, so that all orders of the
+            previous term, including its own, have ended.
     """
 
     def __init__(
-        self, lease_s: float, started_at: float, quiet_s: float = 0.0
+        self, lease_s: float, started_at: float, initial_delay_s: float = 0.0
     ) -> None:
         self._lease_s = lease_s * (1 + MAX_CLOCK_DRIFT)
-        self._quiet_s = quiet_s
+        self._initial_delay_s = initial_delay_s
         self._ordered_at = started_at
         self._in_flight = 0
-        self._quiet_until = float("-inf")
+        self._delayed_until = float("-inf")
         self._is_former_holder = False
         self._noted = False
         self._noted_at = float("inf")
@@ -104,11 +104,11 @@
         # If this process is the latest holder, no other process has given
         # orders since, because a holder is recorded before its first order.
         is_latest = bool(former) and former[-1] == name
-        self._noted = is_latest and not self._quiet_s
+        self._noted = is_latest and not self._initial_delay_s
         self._noted_at = now
         self._alone = is_latest and len(former) == 1
         self._is_former_holder = name in former and not is_latest
-        self._quiet_until = now + self._quiet_s
+        self._delayed_until = now + self._initial_delay_s
 
     def due(self, now: float) -> bool:
         """Whether this process should now be recorded as the holder."""
@@ -156,7 +156,7 @@
         return self._wait_s(now)
 
     def _wait_s(self, now: float) -> float:
-        allowed_at = self._quiet_until
+        allowed_at = self._delayed_until
         if self._is_former_holder:
             last_at = now if self._in_flight else self._ordered_at
             allowed_at = max(allowed_at, last_at + self._lease_s)
