--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -255,9 +255,9 @@
             "mnl-a",
         )
         try:
-            found = await process.replica.placer.on_place(request)
+            place = await process.replica.placer.on_place(request)
             ended = placement.EndedUse(
-                name, found.target, placement.UseOutcome.DONE
+                name, place.target, placement.UseOutcome.DONE
             )
             await process.replica.placer.on_release(
                 placement.ReleaseRequest(ENTRY, (ended,))
@@ -426,11 +426,11 @@
     """A leader that may not order yet still places on resident adapters."""
     async with ReplicaCluster(6, engines=1) as cluster:
         first, other = await cluster.wait_for_orders()
-        known = f"a{cluster.asked}"
+        resident = f"a{cluster.asked}"
         await cluster.move_leadership(other)
         await cluster.ask_until_served(2.0)
         await cluster.move_leadership(first)
-        if not await cluster.ask_at(first, 0.5, known):
+        if not await cluster.ask_at(first, 0.5, resident):
             return ["A request for a resident adapter was refused."]
         return cluster.faults()
 
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -24,12 +24,12 @@
 from bergamotsail import wire
 
 MODEL = "base"
-LAG_S = 0.2
-STORE_S = 0.25
-COPY_S = 0.025
-MODEL_S = 1.0
+REPORT_LAG_S = 0.2
+STORE_LOAD_S = 0.25
+COPY_LOAD_S = 0.025
+MODEL_LOAD_S = 1.0
 # Time from the grant to the first chunk of the answer.
-FIRST_S = 0.01
+FIRST_CHUNK_S = 0.01
 POOL = "sastre-llm"
 Outcome = targets.OrderOutcome
 
@@ -109,7 +109,7 @@
         if self.model_loaded:
             return Outcome.HOLDS
         self.fetching = not self._on_disk
-        self._call_later(MODEL_S, self._model_loaded, self._start)
+        self._call_later(MODEL_LOAD_S, self._model_loaded, self._start)
         return Outcome.STARTED
 
     def _model_loaded(self, start: int) -> None:
@@ -124,7 +124,7 @@
         await asyncio.sleep(0.002)
         self.reports += 1
         now = asyncio.get_running_loop().time()
-        visible = [r for at, r in self._history if at <= now - LAG_S]
+        visible = [r for at, r in self._history if at <= now - REPORT_LAG_S]
         return visible[-1] if visible else self._history[0][1]
 
     async def load(self, order: targets.EngineOrder) -> Outcome:
@@ -195,7 +195,7 @@
             )
         self.sequence += 1
         self.pending[name] = version
-        delay_s = COPY_S if name in self._copies else STORE_S
+        delay_s = COPY_LOAD_S if name in self._copies else STORE_LOAD_S
         self._call_later(delay_s, self._loaded, name, version, self._start)
         self._record_report()
         return Outcome.STARTED
@@ -399,7 +399,7 @@
         ran = engine.begin(adapter)
         if ran:
             self.served += 1
-            first_s = min(work_s, FIRST_S)
+            first_s = min(work_s, FIRST_CHUNK_S)
             await asyncio.sleep(first_s)
             begun = placement.BegunUse(
                 place_request.request, place.target, first_s
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -21,7 +21,7 @@
 BORN_MS = 1_700_000_000_000
 RESTART_GAP_MS = 60_000
 # Time to reload the base model and one adapter after a restart.
-RELOAD_S = ledger.MODEL_S + 3.0
+RELOAD_S = ledger.MODEL_LOAD_S + 3.0
 ADDRESS = "10.1.0.1:1"
 
 
@@ -170,8 +170,8 @@
     async with RestartHarness(1) as harness:
         await harness.fill()
         before = harness.records
-        for told in (BORN_MS, None, BORN_MS):
-            harness.listed_by_name["e0"] = told
+        for listed in (BORN_MS, None, BORN_MS):
+            harness.listed_by_name["e0"] = listed
             harness.read_list()
             await asyncio.sleep(1.0)
         if harness.records != before:
