--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -314,8 +314,8 @@
         victim: _holding.AdapterName | None,
     ) -> None:
         async with self._lock:
-            # The state may have been reconciled while this task waited for
-            # the lock, and the load is no longer part of it.
+            # While this task waited for the lock, a reconciliation may have
+            # removed the load from the record.
             if not self._still_planned(name, slot):
                 return
             if victim is not None:
--- a/libs/placement/src/bergamotsail/placement/_place_messages.py
+++ b/libs/placement/src/bergamotsail/placement/_place_messages.py
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceRequest:
-    """Ask for an engine that holds an adapter.
+    """Ask for an engine that can run a request.
 
     Args:
         boot: boot id of the calling daemon.
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -31,6 +31,7 @@
 from bergamotsail import targets
 from bergamotsail import wire
 
+# Interval of the periodic checks.
 TICK_S = 0.05
 # Event loop lag beyond which a call is shed. Place requests are shed first,
 # since callers retry with a delay; a lost release is repaired by the next
--- a/libs/placement/src/bergamotsail/placement/_residents.py
+++ b/libs/placement/src/bergamotsail/placement/_residents.py
@@ -154,8 +154,8 @@
             self.by_name[name] = resident
         if as_of > resident.changed_at:
             resident.confirmed = True
-        # Only a report without any run clears the doubt: a count of runs at
-        # a past time can't be compared with the current pins.
+        # Only a report without any run rules out unknown runs: a count of runs
+        # at a past time can't be compared with the current pins.
         idle = report.active_by_resident.get(name, 0) == 0
         in_doubt = resident.doubt_since is not None
         if in_doubt and as_of > resident.doubt_since and idle:
