--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,32 +1,32 @@
-Feature: The holder of an engine's orders
+Feature: Orders of the placer to engines
   Orders are not answered or are executed late, or their answers are lost.
   The fake engine is the oracle: loads must never exceed its adapter slots.
 
-  Scenario Outline: <scenario> keeps the ledger true
-    When the ledger scenario <scenario> runs
+  Scenario Outline: The placer passes the scenario <scenario>
+    When the placer scenario <scenario> runs
     Then no promise is broken
 
     Examples:
-      | scenario                |
-      | dropped_load            |
-      | no_order_without_lead   |
-      | lead_in_doubt           |
-      | quiet_new_holder        |
-      | taken_over              |
-      | taken_over_idle         |
-      | returned_goes_behind    |
-      | long_prompt_goes_sooner |
-      | full_home               |
-      | deposed_in_a_load       |
-      | storm_of_waiters        |
-      | asked_again             |
-      | models_in_turn          |
-      | named_version           |
+      | scenario                       |
+      | dropped_load                   |
+      | no_order_without_leadership    |
+      | leadership_briefly_unconfirmed |
+      | initial_order_delay            |
+      | takeover_of_busy_engine        |
+      | takeover_of_idle_engine        |
+      | late_retry_goes_last           |
+      | long_prompt_goes_first         |
+      | full_engine_with_copy          |
+      | leadership_lost_during_load    |
+      | many_waiting_requests          |
+      | repeated_request               |
+      | one_store_load_at_a_time       |
+      | new_default_version            |
 
-  Scenario: Random loads with late and lost orders keep the ledger true
+  Scenario: Late and lost orders under random load never overfill an engine
     When 24 random loads are tried
     Then no promise is broken
 
-  Scenario: Every guard of the ledger that is switched off is noticed
-    When each guard of the ledger is switched off
+  Scenario: Every disabled guard of the placer is noticed
+    When each guard of the placer is disabled
     Then each is noticed there
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -1,9 +1,9 @@
-"""A real placer before fake engines whose orders are lost or delayed.
+"""Runs the placer against fake engines whose orders are lost or delayed.
 
 The fake engine is the test oracle: it knows which adapters it holds and
 records each load that exceeds its adapter slots. The placer, which issues the
-orders and keeps a ledger of them for each engine, is the production code. All
-run in virtual time.
+orders and keeps a record of each engine, is the production code. All run in
+virtual time.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 from bergamotsail import wire
 
 MODEL = "base"
-LAG_S = 0.2
-STORE_S = 0.25
-COPY_S = 0.025
-MODEL_S = 1.0
+REPORT_LAG_S = 0.2
+STORE_LOAD_S = 0.25
+COPY_LOAD_S = 0.025
+MODEL_LOAD_S = 1.0
 # Time from the grant to the first chunk of the answer.
-FIRST_S = 0.01
+FIRST_CHUNK_S = 0.01
 POOL = "sastre-llm"
 Outcome = targets.OrderOutcome
 
@@ -109,7 +109,7 @@
         if self.model_loaded:
             return Outcome.HOLDS
         self.fetching = not self._on_disk
-        self._call_later(MODEL_S, self._model_loaded, self._start)
+        self._call_later(MODEL_LOAD_S, self._model_loaded, self._start)
         return Outcome.STARTED
 
     def _model_loaded(self, start: int) -> None:
@@ -124,8 +124,8 @@
         await asyncio.sleep(0.002)
         self.reports += 1
         now = asyncio.get_running_loop().time()
-        old = [r for at, r in self._history if at <= now - LAG_S]
-        return old[-1] if old else self._history[0][1]
+        visible = [r for at, r in self._history if at <= now - REPORT_LAG_S]
+        return visible[-1] if visible else self._history[0][1]
 
     async def load(self, order: targets.EngineOrder) -> Outcome:
         return await self._receive(order, self._load)
@@ -195,7 +195,7 @@
             )
         self.sequence += 1
         self.pending[name] = version
-        delay_s = COPY_S if name in self._copies else STORE_S
+        delay_s = COPY_LOAD_S if name in self._copies else STORE_LOAD_S
         self._call_later(delay_s, self._loaded, name, version, self._start)
         self._record_report()
         return Outcome.STARTED
@@ -295,7 +295,7 @@
         fault_rates: FaultRates,
         engines: int = 2,
         slots: int = 3,
-        quiet_s: float = 0.0,
+        initial_delay_s: float = 0.0,
     ) -> None:
         self.rng = random.Random(seed)
         self.spec = catalogue.EngineSpec(
@@ -318,7 +318,7 @@
             self.engine_of,
             placement.CopyAffinityPolicy(),
             observe.Metrics(),
-            tenure=placement.Tenure(0.0, 0.0, quiet_s),
+            tenure=placement.Tenure(0.0, 0.0, initial_delay_s),
         )
         self.served = 0
         self.refused = 0
@@ -353,7 +353,7 @@
     async def __aexit__(self, *_: object) -> None:
         await self.placer.__aexit__()
 
-    def ask(
+    def new_request(
         self,
         adapter: str,
         patience_s: float = 3.0,
@@ -386,9 +386,11 @@
         prompt_tokens: int = 100,
     ) -> None:
         """Request a place, run there and release it."""
-        ask = self.ask(adapter, patience_s, age_s, prompt_tokens)
+        place_request = self.new_request(
+            adapter, patience_s, age_s, prompt_tokens
+        )
         try:
-            place = await self.placer.on_place(ask)
+            place = await self.placer.on_place(place_request)
         except wire.ServingError:
             self.refused += 1
             return
@@ -397,9 +399,11 @@
         ran = engine.begin(adapter)
         if ran:
             self.served += 1
-            first_s = min(work_s, FIRST_S)
+            first_s = min(work_s, FIRST_CHUNK_S)
             await asyncio.sleep(first_s)
-            begun = placement.BegunUse(ask.request, place.target, first_s)
+            begun = placement.BegunUse(
+                place_request.request, place.target, first_s
+            )
             await self.placer.on_release(
                 placement.ReleaseRequest("entry-1", (), (begun,))
             )
@@ -408,7 +412,9 @@
         outcome = placement.UseOutcome.DONE
         if not ran:
             outcome = placement.UseOutcome.ABSENT
-        ended = placement.EndedUse(ask.request, place.target, outcome)
+        ended = placement.EndedUse(
+            place_request.request, place.target, outcome
+        )
         await self.placer.on_release(
             placement.ReleaseRequest("entry-1", (ended,))
         )
@@ -458,10 +464,10 @@
 
 
 async def dropped_load() -> list[str]:
-    """A load that settling removed from the ledger is not sent.
+    """A load that reconciliation removed from the record is not sent.
 
     The load is still waiting for the lock of the engine's orders when the
-    ledger is settled.
+    record is reconciled with a report.
     """
     async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
@@ -469,14 +475,14 @@
         now = asyncio.get_running_loop().time()
         async with orders._lock:
             orders.start_load((MODEL, "a1"), None, None, now)
-            orders.settle()
+            orders.reconcile()
             await asyncio.sleep(1.5)
         await asyncio.sleep(0.5)
         sent = harness.engine_by_id["e0"].sequence
         return [f"{sent} orders were sent."] if sent else []
 
 
-async def no_order_without_lead() -> list[str]:
+async def no_order_without_leadership() -> list[str]:
     """A placer that lost leadership sends none of its planned orders."""
     async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
@@ -489,7 +495,7 @@
         return [f"{sent} orders were sent."] if sent else []
 
 
-async def deposed_in_a_load() -> list[str]:
+async def leadership_lost_during_load() -> list[str]:
     """A placer that loses leadership during a load stops polling reports."""
     async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
@@ -504,7 +510,7 @@
         return [f"{asked} reports were requested"] if asked > 2 else []
 
 
-async def lead_in_doubt() -> list[str]:
+async def leadership_briefly_unconfirmed() -> list[str]:
     """A placer resumes orders after a short loss of confirmed leadership."""
     async with PlacerHarness(1, FaultRates(), engines=1) as harness:
         await asyncio.sleep(2.0)
@@ -520,10 +526,10 @@
         return [] if harness.served >= 5 else [f"only {harness.served} served"]
 
 
-async def quiet_new_holder() -> list[str]:
-    """A new leader waits before it orders engines that check no fences."""
+async def initial_order_delay() -> list[str]:
+    """A new leader waits before it orders engines that ignore fencing."""
     async with PlacerHarness(
-        1, FaultRates(), engines=1, quiet_s=3.0
+        1, FaultRates(), engines=1, initial_delay_s=3.0
     ) as harness:
         await asyncio.sleep(0.5)
         asking = asyncio.create_task(harness.request("a1", 0.1, 6.0))
@@ -538,8 +544,8 @@
         return faults
 
 
-async def taken_over() -> list[str]:
-    """A new leader evicts no adapter whose uses are not reported yet."""
+async def takeover_of_busy_engine() -> list[str]:
+    """A new leader evicts no adapter while its uses are not reported yet."""
     async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
         await harness.request("a1", 0.1)
@@ -563,7 +569,7 @@
         return faults
 
 
-async def taken_over_idle() -> list[str]:
+async def takeover_of_idle_engine() -> list[str]:
     """A new leader evicts at once on an engine that reports no runs."""
     async with PlacerHarness(1, FaultRates(), engines=1, slots=2) as harness:
         await asyncio.sleep(2.0)
@@ -578,7 +584,7 @@
         return [f"The request took {took_s:.2f} s."] if took_s > 0.5 else []
 
 
-async def returned_goes_behind() -> list[str]:
+async def late_retry_goes_last() -> list[str]:
     """A retried request that missed its objective is served later.
 
     A request that can still meet its objective goes first, although it
@@ -588,17 +594,17 @@
         await asyncio.sleep(2.0)
         busy = asyncio.create_task(harness.request("a1", 0.4))
         await asyncio.sleep(0.3)
-        back = asyncio.create_task(harness.request("a2", 0.1, age_s=2.0))
+        retried = asyncio.create_task(harness.request("a2", 0.1, age_s=2.0))
         await asyncio.sleep(0.05)
         await harness.request("a3", 0.0)
-        faults = ["The retried request went first."] if back.done() else []
-        await asyncio.gather(busy, back)
+        faults = ["The retried request went first."] if retried.done() else []
+        await asyncio.gather(busy, retried)
         if harness.served < 3:
             faults.append(f"Only {harness.served} of 3 were served.")
         return faults
 
 
-async def long_prompt_goes_sooner() -> list[str]:
+async def long_prompt_goes_first() -> list[str]:
     """A long prompt goes first, as it must begin sooner to be on time."""
     async with PlacerHarness(1, FaultRates(), engines=1, slots=1) as harness:
         await asyncio.sleep(2.0)
@@ -612,8 +618,8 @@
         return faults
 
 
-async def full_home() -> list[str]:
-    """A request goes to another engine if its home engine stays full."""
+async def full_engine_with_copy() -> list[str]:
+    """A request goes elsewhere if the engine with the copy stays full."""
     async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         long = [
@@ -628,11 +634,11 @@
         took_s = asyncio.get_running_loop().time() - before
         await asyncio.gather(*long)
         if harness.refused or took_s > 1.5:
-            return [f"The request waited {took_s:.1f} s for its full home."]
+            return [f"The request waited {took_s:.1f} s for the full engine."]
         return []
 
 
-async def asked_again() -> list[str]:
+async def repeated_request() -> list[str]:
     """A request repeated after a lost reply is counted only once.
 
     This holds if the new place is at the same engine or at another one. A
@@ -641,13 +647,15 @@
     """
     async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
-        ask = harness.ask("a1")
-        lost = await harness.placer.on_place(ask)
-        await harness.placer.on_place(ask)
-        ask = dataclasses.replace(ask, avoid=(lost.target,))
-        place = await harness.placer.on_place(ask)
+        place_request = harness.new_request("a1")
+        lost = await harness.placer.on_place(place_request)
+        await harness.placer.on_place(place_request)
+        place_request = dataclasses.replace(
+            place_request, avoid=(lost.target,)
+        )
+        place = await harness.placer.on_place(place_request)
         ended = placement.EndedUse(
-            ask.request, place.target, placement.UseOutcome.DONE
+            place_request.request, place.target, placement.UseOutcome.DONE
         )
         await harness.placer.on_release(
             placement.ReleaseRequest("entry-1", (ended,))
@@ -663,18 +671,20 @@
         ]
 
 
-async def models_in_turn() -> list[str]:
-    """The store serves one base model at a time; local disks don't wait."""
+async def one_store_load_at_a_time() -> list[str]:
+    """The store serves one model at a time; loads from disk never wait."""
     async with PlacerHarness(1, FaultRates(), engines=5) as harness:
         engines = list(harness.engine_by_id.values())
         for number, engine in enumerate(engines):
             engine.drop_model(on_disk=number >= 3)
-        most = 0
+        max_fetching = 0
         for _ in range(100):
             await asyncio.sleep(0.1)
-            most = max(most, sum(e.fetching for e in engines))
+            max_fetching = max(max_fetching, sum(e.fetching for e in engines))
         faults = (
-            [f"{most} fetches from the store at once"] if most != 1 else []
+            [f"{max_fetching} fetches from the store at once"]
+            if max_fetching != 1
+            else []
         )
         if not all(engine.model_loaded for engine in engines):
             faults.append("An engine did not load its model.")
@@ -683,20 +693,20 @@
         return faults
 
 
-async def storm_of_waiters() -> list[str]:
-    """Many waiting requests cause few rounds of decisions.
+async def many_waiting_requests() -> list[str]:
+    """Many waiting requests cause few scheduling passes.
 
     Otherwise the event loop of the leader has no time for other work.
     """
     async with PlacerHarness(1, FaultRates(), engines=2, slots=1) as harness:
         await asyncio.sleep(2.0)
         decided = 0
-        pump = harness.placer._schedule
+        schedule = harness.placer._schedule
 
         def counted() -> None:
             nonlocal decided
             decided += 1
-            pump()
+            schedule()
             harness.placer._schedule_took_s = 0.02
 
         harness.placer._schedule = counted
@@ -706,10 +716,10 @@
             for n in range(200)
         ]
         await asyncio.gather(*tasks)
-        return [f"{decided} rounds of decisions"] if decided > 17 else []
+        return [f"{decided} scheduling passes"] if decided > 17 else []
 
 
-async def named_version() -> list[str]:
+async def new_default_version() -> list[str]:
     """A new default version applies to new runs within 2 s."""
     async with PlacerHarness(1, FaultRates()) as harness:
         await asyncio.sleep(2.0)
@@ -717,10 +727,10 @@
         harness.name_version("a1", 7)
         busy = asyncio.create_task(harness.request("a1", 3.0))
         await asyncio.sleep(2.0)
-        ask = placement.PlaceRequest(
+        place_request = placement.PlaceRequest(
             "entry-1", "late", POOL, MODEL, "a1", 9, 9, (), 0, 4.0, "mnl-a"
         )
-        place = await harness.placer.on_place(ask)
+        place = await harness.placer.on_place(place_request)
         await busy
         return (
             []
@@ -742,43 +752,43 @@
 # fail, patched attribute.
 MUTANTS = (
     (
-        "send what was settled away",
+        "send a load that reconciliation removed",
         "dropped_load",
         (placement.EngineOrders, "_still_planned", lambda *_: True),
     ),
     (
-        "order after the lead is lost",
-        "no_order_without_lead",
+        "send orders after leadership is lost",
+        "no_order_without_leadership",
         (placement.EngineOrders, "_gate_open", lambda _: True),
     ),
     (
-        "wait at home for ever",
-        "full_home",
+        "wait forever for the engine with the copy",
+        "full_engine_with_copy",
         (_place_policy, "WAITING_WEIGHT", 0.0),
     ),
     (
-        "evict before entries have told",
-        "taken_over",
+        "evict before entries report their uses",
+        "takeover_of_busy_engine",
         (_placer, "USES_REPORTED_S", 0.0),
     ),
     (
-        "decide at once, always",
-        "storm_of_waiters",
+        "leave no time between scheduling passes",
+        "many_waiting_requests",
         (_placer, "SCHEDULE_SPACING", 0.0),
     ),
     (
-        "begin on an old version",
-        "named_version",
+        "start requests on an old version",
+        "new_default_version",
         (_placer, "OLD_VERSION_S", 1e9),
     ),
     (
-        "never tend to what was left open",
-        "lead_in_doubt",
-        (placement.EngineOrders, "reconcile", lambda _: None),
+        "never reconcile an unknown state",
+        "leadership_briefly_unconfirmed",
+        (placement.EngineOrders, "check_state", lambda _: None),
     ),
     (
-        "leave the first place counted",
-        "asked_again",
+        "keep counting the first grant",
+        "repeated_request",
         (
             _placer.Placer,
             "_move_request",
@@ -788,8 +798,8 @@
         ),
     ),
     (
-        "load all models at once",
-        "models_in_turn",
+        "load all base models concurrently",
+        "one_store_load_at_a_time",
         (
             placement.StoreLoadLock,
             "turn",
@@ -797,7 +807,7 @@
         ),
     ),
     (
-        "say nothing of what is expected",
+        "send orders without the expected sequence",
         "random",
         (placement.EngineOrders, "_order", _order_without_expected),
     ),
@@ -806,19 +816,19 @@
 
 SCENARIOS = {
     "dropped_load": dropped_load,
-    "no_order_without_lead": no_order_without_lead,
-    "deposed_in_a_load": deposed_in_a_load,
-    "lead_in_doubt": lead_in_doubt,
-    "quiet_new_holder": quiet_new_holder,
-    "taken_over": taken_over,
-    "taken_over_idle": taken_over_idle,
-    "returned_goes_behind": returned_goes_behind,
-    "long_prompt_goes_sooner": long_prompt_goes_sooner,
-    "full_home": full_home,
-    "asked_again": asked_again,
-    "models_in_turn": models_in_turn,
-    "storm_of_waiters": storm_of_waiters,
-    "named_version": named_version,
+    "no_order_without_leadership": no_order_without_leadership,
+    "leadership_lost_during_load": leadership_lost_during_load,
+    "leadership_briefly_unconfirmed": leadership_briefly_unconfirmed,
+    "initial_order_delay": initial_order_delay,
+    "takeover_of_busy_engine": takeover_of_busy_engine,
+    "takeover_of_idle_engine": takeover_of_idle_engine,
+    "late_retry_goes_last": late_retry_goes_last,
+    "long_prompt_goes_first": long_prompt_goes_first,
+    "full_engine_with_copy": full_engine_with_copy,
+    "repeated_request": repeated_request,
+    "one_store_load_at_a_time": one_store_load_at_a_time,
+    "many_waiting_requests": many_waiting_requests,
+    "new_default_version": new_default_version,
 }
 
 
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -16,8 +16,10 @@
 
 # Maximum lag of reports behind the engine's state.
 REPORT_LAG_S = 0.3
-SETTLE_RETRY_S = 0.3
-MAX_SETTLE_RETRY_S = 1.5
+RECONCILE_RETRY_S = 0.3
+MAX_RECONCILE_RETRY_S = 1.5
+# Expected duration of an adapter load from a local copy and from the store.
+# A load is first confirmed after this time.
 COPY_LOAD_S = 0.025
 STORE_LOAD_S = 0.25
 CONFIRM_INTERVAL_S = 0.02
@@ -32,7 +34,7 @@
 FENCES_PER_TERM = 1_000
 
 State = _holding.SlotState
-Order = targets.OrderOutcome
+Outcome = targets.OrderOutcome
 
 
 class OrderGate(abc.ABC):
@@ -74,14 +76,16 @@
     Args:
         term: the leader's term under which orders are sent.
         earlier_starts: number of earlier incarnations of this engine that
-            got orders in this term. An unanswered order to one of them would
-            be accepted by this one once the sequence number matches; in 2 of
-            16 random workloads with restarts it overfilled an engine. A
-            higher fencing number rejects it.
-        gate: checked as each order is written.
-        changed: called when a load or the engine's state was confirmed.
-        started: called with the start time in milliseconds when the engine
-            reports another start; the orders and the record are then
+            got orders in this term. Each incarnation gets a higher fencing
+            number, so that it rejects orders that earlier ones left
+            unanswered. Otherwise such an order is accepted as soon as the
+            sequence numbers match, which overfilled an engine in 2 of 16
+            random workloads with restarts.
+        gate: decides whether orders may be sent; checked right before each
+            one is written.
+        on_changed: called when a load or the engine's state was confirmed.
+        on_new_start: called with the start time in milliseconds when the
+            engine reports another start; the orders and the record are then
             obsolete.
     """
 
@@ -94,41 +98,41 @@
         gate: OrderGate,
         store: StoreLoadLock,
         metrics: observe.Metrics,
-        changed: collections.abc.Callable[[], None],
+        on_changed: collections.abc.Callable[[], None],
         clock: wire.Clock,
-        started: collections.abc.Callable[[int], None] = lambda _: None,
+        on_new_start: collections.abc.Callable[[int], None] = lambda _: None,
         earlier_starts: int = 0,
     ) -> None:
         self.record = record
         self._start_time_ms = targets.Incarnation.of(
             record.info.id
         ).start_time_ms
-        self._started = started
+        self._on_new_start = on_new_start
         self._spec = spec
         self._engine = engine
         self._term = term
-        self._starts = earlier_starts
+        self._earlier_starts = earlier_starts
         self._gate = gate
         self._store = store
         self._metrics = metrics
-        self._changed = changed
+        self._on_changed = on_changed
         self._clock = clock
         self._lock = asyncio.Lock()
         self._ordered_at = 0.0
-        self._asked_at = 0.0
-        self._settling: asyncio.Task | None = None
-        self._loads: set[asyncio.Task] = set()
+        self._polled_at = 0.0
+        self._reconciling: asyncio.Task | None = None
+        self._tasks: set[asyncio.Task] = set()
         self._stopped = False
 
     def stop(self) -> None:
         """Cancel all tasks and send no more orders."""
         self._stopped = True
-        if self._settling is not None:
-            self._settling.cancel()
-        for task in self._loads:
+        if self._reconciling is not None:
+            self._reconciling.cancel()
+        for task in self._tasks:
             task.cancel()
 
-    def reconcile(self) -> None:
+    def check_state(self) -> None:
         """Reconcile an unknown state, or check for unreported runs.
 
         The state may have been left unknown while the leadership was
@@ -136,21 +140,21 @@
         until no unreported request can run there.
         """
         if not self.record.known:
-            self.settle()
+            self.reconcile()
             return
         now = self._clock.now()
-        since_s = now - self._asked_at
+        since_s = now - self._polled_at
         if (
             self.record.may_have_unreported_runs(now)
             and since_s > REPORT_LAG_S
         ):
-            self._asked_at = now
-            self._run(self._poll_runs)
+            self._polled_at = now
+            self._start_task(self._poll_runs)
 
     async def _poll_runs(self) -> None:
         with contextlib.suppress(wire.ServingError):
             self._compare_runs(await self._report())
-            self._changed()
+            self._on_changed()
 
     async def _report(self) -> targets.AdapterReport:
         """Return a report of this incarnation of the engine.
@@ -165,7 +169,7 @@
         if self._start_time_ms is None:
             self._start_time_ms = report.start_time_ms
         if report.start_time_ms not in (None, self._start_time_ms):
-            self._started(report.start_time_ms)
+            self._on_new_start(report.start_time_ms)
             raise wire.TargetRestartedError(
                 "The engine was restarted. Wait until its state is known."
             )
@@ -176,19 +180,19 @@
         runs = report.running + report.queued
         self.record.compare_runs(runs, seen_until)
 
-    def settle(self) -> None:
+    def reconcile(self) -> None:
         """Mark the state as unknown and reconcile it with a report."""
         self.record.known = False
         if not self._leads():
             # A new leader starts records of its own. If this process leads
-            # again, reconcile() resumes the reconciliation.
+            # again, check_state() resumes the reconciliation.
             return
-        if self._settling is None or self._settling.done():
-            work = observe.timed(self._metrics, "report", self._settle)
-            self._settling = asyncio.create_task(work)
+        if self._reconciling is None or self._reconciling.done():
+            work = observe.timed(self._metrics, "report", self._reconcile)
+            self._reconciling = asyncio.create_task(work)
 
-    async def _settle(self) -> None:
-        retry_s = SETTLE_RETRY_S
+    async def _reconcile(self) -> None:
+        retry_s = RECONCILE_RETRY_S
         while self._leads():
             since_s = self._clock.now() - self._ordered_at
             await self._clock.sleep(max(0.0, REPORT_LAG_S - since_s))
@@ -198,20 +202,22 @@
                 self._log("report_failed", error=error.message)
                 self.record.add_fault(self._clock.now())
                 await self._clock.sleep(retry_s)
-                retry_s = min(retry_s * 2, MAX_SETTLE_RETRY_S)
+                retry_s = min(retry_s * 2, MAX_RECONCILE_RETRY_S)
                 continue
-            recent = self._clock.now() - self._ordered_at < REPORT_LAG_S
-            if report.busy or recent:
-                await self._clock.sleep(SETTLE_RETRY_S)
+            ordered_recently = (
+                self._clock.now() - self._ordered_at < REPORT_LAG_S
+            )
+            if report.busy or ordered_recently:
+                await self._clock.sleep(RECONCILE_RETRY_S)
                 continue
             if self.record.shows_new_start(report):
                 self._log("new_start", sequence=report.sequence)
                 self.record.reset()
-                self._starts += 1
+                self._earlier_starts += 1
             if not report.models and await self._load_model(report):
                 continue
             self.record.apply_report(report, self._clock.now())
-            self._asked_at = self._clock.now()
+            self._polled_at = self._clock.now()
             self._compare_runs(report)
             self._log(
                 "settled",
@@ -220,13 +226,13 @@
                 pending=len(report.pending),
             )
             self._confirm_pending()
-            self._changed()
+            self._on_changed()
             return
 
     def _confirm_pending(self) -> None:
         for name, slot in self.record.slot_by_name.items():
             if slot.state is State.DOUBTFUL:
-                self._run(self._confirm, name, slot)
+                self._start_task(self._confirm, name, slot)
 
     async def _load_model(self, report: targets.AdapterReport) -> bool:
         """Load a base model into an engine without one.
@@ -236,7 +242,7 @@
         if not self._spec.models or self.record.leaving:
             return False
         if not self._gate_open():
-            await self._clock.sleep(SETTLE_RETRY_S)
+            await self._clock.sleep(RECONCILE_RETRY_S)
             return True
         model = self._spec.models[0]
         if model.name in report.at_hand:
@@ -252,10 +258,10 @@
         order = self._order((model.name, ""), None, None)
         outcome = await self._send(self._engine.load, order)
         self._log("load_model", model=model.name, outcome=str(outcome))
-        gives_up_at = (
+        timeout_at = (
             self._clock.now() + MODEL_LOAD_TIMEOUT_FACTOR * model.load_s
         )
-        while outcome is not None and self._clock.now() < gives_up_at:
+        while outcome is not None and self._clock.now() < timeout_at:
             await self._clock.sleep(MODEL_POLL_S)
             try:
                 report = await self._report()
@@ -287,19 +293,19 @@
             victim="/".join(victim) if victim else None,
             copy=record.has_copy(name),
             sequence=record.sequence,
-            in_transit=record.in_transit(),
+            in_transit=record.unconfirmed_loads(),
         )
-        self._run(self._load, name, slot, victim)
+        self._start_task(self._load, name, slot, victim)
 
-    def _run(
+    def _start_task(
         self,
         work: collections.abc.Callable[..., collections.abc.Coroutine],
         *args: object,
     ) -> None:
         timed = observe.timed(self._metrics, "order", work, *args)
         task = asyncio.create_task(timed)
-        self._loads.add(task)
-        task.add_done_callback(self._loads.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _load(
         self,
@@ -308,14 +314,14 @@
         victim: _holding.AdapterName | None,
     ) -> None:
         async with self._lock:
-            # The state may have been reconciled while this task waited for
-            # the lock, and the load is no longer part of it.
+            # While this task waited for the lock, a reconciliation may have
+            # removed the load from the record.
             if not self._still_planned(name, slot):
                 return
             if victim is not None:
-                out = self._order(victim, None, self.record.sequence)
+                unload_order = self._order(victim, None, self.record.sequence)
                 if not self._apply_outcome(
-                    await self._send(self._engine.unload, out)
+                    await self._send(self._engine.unload, unload_order)
                 ):
                     return
                 if not self._still_planned(name, slot):
@@ -333,15 +339,15 @@
         holds = self.record.slot_by_name.get(name) is slot
         return self.record.known and holds
 
-    def _apply_outcome(self, outcome: Order | None) -> bool:
+    def _apply_outcome(self, outcome: Outcome | None) -> bool:
         """Apply an order's outcome; reconcile unless it was accepted."""
-        if outcome in (Order.STARTED, Order.HOLDS):
+        if outcome in (Outcome.STARTED, Outcome.HOLDS):
             self.record.sequence += 1
             return True
-        if outcome is Order.FENCED:
+        if outcome is Outcome.FENCED:
             self.record.fenced = True
         self._log("not_accepted", outcome=str(outcome))
-        self.settle()
+        self.reconcile()
         return False
 
     async def _confirm(
@@ -355,8 +361,8 @@
                 return
             if self._leads() and not self._gate_open():
                 # No order may be sent yet; a report shows the outcome too.
-                await self._clock.sleep(SETTLE_RETRY_S)
-                self.settle()
+                await self._clock.sleep(RECONCILE_RETRY_S)
+                self.reconcile()
                 return
             async with self._lock:
                 order = self._order(name, slot.version, self.record.sequence)
@@ -367,18 +373,18 @@
                 lost += 1
                 if lost <= MAX_LOST_CONFIRMS:
                     continue
-            if outcome is Order.HOLDS:
+            if outcome is Outcome.HOLDS:
                 slot.state = State.READY
                 self.record.remember_copy(name)
                 self._log("loaded", adapter="/".join(name))
-                self._changed()
+                self._on_changed()
                 return
-            if outcome is not Order.STARTED:
+            if outcome is not Outcome.STARTED:
                 self._log("not_confirmed", outcome=str(outcome))
-                self.settle()
+                self.reconcile()
                 return
             await self._clock.sleep(CONFIRM_INTERVAL_S)
-        self.settle()
+        self.reconcile()
 
     def _order(
         self,
@@ -399,10 +405,10 @@
     async def _send(
         self,
         send: collections.abc.Callable[
-            [targets.EngineOrder], collections.abc.Awaitable[Order]
+            [targets.EngineOrder], collections.abc.Awaitable[Outcome]
         ],
         order: targets.EngineOrder,
-    ) -> Order | None:
+    ) -> Outcome | None:
         """Send an order, resending it if lost; None if it got no answer.
 
         A resent order can't be executed twice: the first execution advances
@@ -426,7 +432,7 @@
     @property
     def _fence(self) -> int:
         """The fencing number of orders to this incarnation."""
-        starts = min(self._starts, FENCES_PER_TERM - 1)
+        starts = min(self._earlier_starts, FENCES_PER_TERM - 1)
         return self._term * FENCES_PER_TERM + starts
 
     def _leads(self) -> bool:
--- a/libs/placement/src/bergamotsail/placement/_pace.py
+++ b/libs/placement/src/bergamotsail/placement/_pace.py
@@ -40,13 +40,13 @@
         fixed_s: seconds until the first answer to an empty prompt.
         tokens_per_s: prefill speed under the concurrent load.
 
-    Example: ``Pace(0.012, 16_000.0).read_s(1_600)`` gives 0.112.
+    Example: ``Pace(0.012, 16_000.0).prefill_s(1_600)`` gives 0.112.
     """
 
     fixed_s: float
     tokens_per_s: float
 
-    def read_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """Return the prefill time of a prompt in seconds."""
         return self.fixed_s + tokens / self.tokens_per_s
 
@@ -76,7 +76,7 @@
         self, tokens: int, took_s: float, prior: Pace, now: float
     ) -> None:
         """Add an observation."""
-        expected_s = self.pace(prior, now).read_s(tokens)
+        expected_s = self.pace(prior, now).prefill_s(tokens)
         took_s = min(max(took_s, 0.0), expected_s * MAX_OBSERVATION_RATIO)
         self._decay(now, DECAY_PER_OBSERVATION)
         self._weight += 1.0
@@ -97,7 +97,7 @@
     def pace(self, prior: Pace, now: float) -> Pace:
         """Return the estimate; without recent observations, the prior."""
         factor = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
-        prior_s = prior.read_s(PRIOR_TOKENS)
+        prior_s = prior.prefill_s(PRIOR_TOKENS)
         weight = self._weight * factor + 2 * PRIOR_WEIGHT
         tokens = self._tokens * factor + PRIOR_WEIGHT * PRIOR_TOKENS
         seconds = self._seconds * factor
@@ -147,10 +147,10 @@
 class Reading:
     """The prefill backlog of one engine and the estimate of its speed.
 
-    The first answer to a prompt shows that its prefill has ended. It
-    corrects the estimated backlog, so that errors don't accumulate. An
-    engine preempts prefill for a more urgent prompt, so a request waits only
-    for prompts that are at least as urgent.
+    A prompt is unread until its prefill has ended, which its first answer
+    shows. Each first answer corrects the estimated backlog, so that errors
+    don't accumulate. An engine preempts prefill for a more urgent prompt, so
+    a request waits only for prompts that are at least as urgent.
     """
 
     def __init__(self, pool: PoolPace) -> None:
@@ -159,8 +159,8 @@
         self._unread: collections.OrderedDict[tuple[str, str], _Unread] = (
             collections.OrderedDict()
         )
-        # When the engine started to read the oldest unread prompt.
-        self._reading_since = 0.0
+        # When the prefill of the oldest unread prompt started.
+        self._prefill_since = 0.0
         self._pace = pool.pace()
         self._pace_at = float("-inf")
         self._backlog_by_priority: dict[int, float] = {}
@@ -178,12 +178,12 @@
     ) -> None:
         """Add a prompt that is sent to the engine."""
         if not self._unread:
-            self._reading_since = now
+            self._prefill_since = now
         self._unread[key] = _Unread(now, tokens, priority)
         self._backlog_at = float("-inf")
 
     def drop(self, key: tuple[str, str]) -> None:
-        """Remove a prompt that was read or will not be."""
+        """Remove a prompt whose prefill has ended or is no longer needed."""
         if self._unread.pop(key, None) is not None:
             self._backlog_at = float("-inf")
 
@@ -193,23 +193,23 @@
         if unread is None:
             return
         first_at = min(unread.granted_at + first_s, now)
-        in_turn = key == next(iter(self._unread))
+        is_oldest = key == next(iter(self._unread))
         self.drop(key)
-        if not in_turn:
-            # It was read ahead of the oldest prompt, which was delayed by
-            # its prefill time.
-            read_s = self.pace(now).read_s(unread.tokens)
-            self._reading_since = min(
-                self._reading_since + read_s, max(self._reading_since, now)
+        if not is_oldest:
+            # It overtook the oldest prompt, whose prefill was delayed by its
+            # own.
+            prefill_s = self.pace(now).prefill_s(unread.tokens)
+            self._prefill_since = min(
+                self._prefill_since + prefill_s, max(self._prefill_since, now)
             )
             return
-        began_at = max(unread.granted_at, self._reading_since)
+        began_at = max(unread.granted_at, self._prefill_since)
         if self._pool.learns and first_at > began_at:
             took_s = first_at - began_at
             self._pool.learn(unread.tokens, took_s, now)
             prior = self._pool.pace()
             self._estimate.learn(unread.tokens, took_s, prior, now)
-        self._reading_since = max(self._reading_since, first_at)
+        self._prefill_since = max(self._prefill_since, first_at)
 
     def backlog_s(self, now: float, priority: int | None = None) -> float:
         """Return how long a prompt that is sent now waits for its prefill.
@@ -236,12 +236,14 @@
     def _compute_backlog_s(self, now: float, lowest_priority: int) -> float:
         pace = self.pace(now)
         ahead = [
-            u for u in self._unread.values() if u.priority <= lowest_priority
+            unread
+            for unread in self._unread.values()
+            if unread.priority <= lowest_priority
         ]
-        total_s = sum(pace.read_s(unread.tokens) for unread in ahead)
+        total_s = sum(pace.prefill_s(unread.tokens) for unread in ahead)
         oldest = next(iter(self._unread.values()))
-        first_s = pace.read_s(oldest.tokens)
-        spent_s = max(0.0, now - max(self._reading_since, oldest.granted_at))
+        first_s = pace.prefill_s(oldest.tokens)
+        spent_s = max(0.0, now - max(self._prefill_since, oldest.granted_at))
         overdue_s = max(0.0, spent_s - first_s)
         if oldest.priority <= lowest_priority:
             total_s -= min(spent_s, first_s)
--- a/libs/placement/src/bergamotsail/placement/_residents.py
+++ b/libs/placement/src/bergamotsail/placement/_residents.py
@@ -48,7 +48,7 @@
         self.incarnation: str | None = None
         self._taken_over_at = now
         self._past_incarnations: set[str] = set()
-        self._gone_at: dict[str, float] = {}
+        self._unloaded_at: dict[str, float] = {}
 
     def usable(self, name: str) -> bool:
         """Whether a run may be sent to this adapter version."""
@@ -69,7 +69,7 @@
             resident.draining = False
 
     def pin(self, name: str) -> None:
-        """Keep an adapter from eviction while a run uses it."""
+        """Prevent the eviction of an adapter while a run uses it."""
         self.by_name[name].pins += 1
 
     def unpin(self, name: str, incarnation: str | None) -> None:
@@ -79,7 +79,10 @@
             resident.pins = max(0, resident.pins - 1)
 
     def doubt(self, name: str, incarnation: str | None, now: float) -> None:
-        """Keep an adapter from eviction, as a run on it may continue."""
+        """Prevent eviction until a later report shows the adapter idle.
+
+        A run on it may continue at the engine.
+        """
         resident = self.by_name.get(name)
         if resident is not None and incarnation == self.incarnation:
             resident.doubt_since = now
@@ -91,19 +94,19 @@
     def loaded(self, name: str, now: float) -> None:
         """Record that the engine confirmed a load."""
         self.by_name[name] = Resident(name, True, now)
-        self._gone_at.pop(name, None)
+        self._unloaded_at.pop(name, None)
 
     def not_loaded(self, name: str, now: float) -> None:
         """Record that the engine reported a failed load."""
         self.by_name.pop(name, None)
-        self._gone_at[name] = now
+        self._unloaded_at[name] = now
 
     def unloaded(self, name: str, now: float) -> None:
         """Record that the engine confirmed an eviction."""
         self.by_name.pop(name, None)
-        self._gone_at[name] = now
+        self._unloaded_at[name] = now
 
-    def uncertain(self, name: str, now: float) -> None:
+    def mark_unconfirmed(self, name: str, now: float) -> None:
         """Mark an adapter as unconfirmed until a later report shows it."""
         resident = self.by_name.get(name)
         if resident is not None:
@@ -117,7 +120,7 @@
             self._taken_over_at = now
         self.incarnation = incarnation
         self.by_name.clear()
-        self._gone_at.clear()
+        self._unloaded_at.clear()
 
     def apply_report(
         self, report: targets.EngineReport, as_of: float, now: float
@@ -144,15 +147,15 @@
     ) -> None:
         resident = self.by_name.get(name)
         if resident is None:
-            if as_of <= self._gone_at.get(name, float("-inf")):
+            if as_of <= self._unloaded_at.get(name, float("-inf")):
                 return
             resident = Resident(name, True, as_of)
             resident.doubt_since = self._taken_over_at
             self.by_name[name] = resident
         if as_of > resident.changed_at:
             resident.confirmed = True
-        # Only a report without any run clears the doubt: a count of runs at
-        # a past time can't be compared with the current pins.
+        # Only a report without any run rules out unknown runs: a count of runs
+        # at a past time can't be compared with the current pins.
         idle = report.active_by_resident.get(name, 0) == 0
         in_doubt = resident.doubt_since is not None
         if in_doubt and as_of > resident.doubt_since and idle:
--- a/libs/placement/src/bergamotsail/placement/_rights.py
+++ b/libs/placement/src/bergamotsail/placement/_rights.py
@@ -12,7 +12,7 @@
 
 # How many former holders a log line names.
 LOGGED_HOLDERS = 3
-# Delay before a failed note to the log is retried.
+# Delay before recording this process in the log is retried.
 NOTE_RETRY_S = 0.25
 
 
@@ -69,13 +69,13 @@
         now = self._clock.now()
         alone = self._tenure.alone_due(now)
         due = alone or self._tenure.due(now)
-        free = self._note_task is None or self._note_task.done()
-        if due and free and now >= self._retry_at:
+        idle = self._note_task is None or self._note_task.done()
+        if due and idle and now >= self._retry_at:
             work = self._note(self._term, alone)
             self._note_task = asyncio.create_task(work)
 
     def stop(self) -> None:
-        """Cancel a note in progress."""
+        """Cancel the recording of this process, if in progress."""
         if self._note_task is not None:
             self._note_task.cancel()
 
