--- a/libs/catalogue/src/bergamotsail/catalogue/_machine.py
+++ b/libs/catalogue/src/bergamotsail/catalogue/_machine.py
@@ -159,7 +159,7 @@
         revision = current.revision if current is not None else 0
         if put.if_revision is not None and put.if_revision != revision:
             return self._rejection(
-                current, f"The entry's current revision is {revision}."
+                current, f"The entry stands at revision {revision}."
             )
         problem = self._put_problem(put)
         if problem is not None:
@@ -183,10 +183,7 @@
         The value is checked by itself and against the other entries.
         """
         if put.kind in _entries.VERSIONED_KINDS:
-            return (
-                "Routes and versions can't be set as entries. Use their own "
-                "commands."
-            )
+            return "Set routes and versions with their own commands."
         if put.value is None:
             return self._delete_problem(put)
         try:
@@ -226,10 +223,7 @@
             )
         ]
         if used_by:
-            return (
-                "Delete each entry that uses it first: "
-                f"{', '.join(used_by[:5])}."
-            )
+            return f"Delete what uses it first: {', '.join(used_by[:5])}."
         return None
 
     def _rejection(
