--- a/libs/bench/src/bergamotsail/bench/_workloads.py
+++ b/libs/bench/src/bergamotsail/bench/_workloads.py
@@ -135,11 +135,13 @@
     every policy that serves the requests in order.
     """
     next_uses: list[float] = [0.0] * len(arrivals)
-    next_at: dict[int, float] = {}
+    next_position_by_adapter: dict[int, float] = {}
     for position in range(len(arrivals) - 1, -1, -1):
         adapter = arrivals[position].adapter
-        next_uses[position] = next_at.get(adapter, float("inf"))
-        next_at[adapter] = position
+        next_uses[position] = next_position_by_adapter.get(
+            adapter, float("inf")
+        )
+        next_position_by_adapter[adapter] = position
     next_use_by_adapter: dict[int, float] = {}
     eviction_heap: list[tuple[float, int]] = []
     loads = 0
--- a/libs/bench/src/bergamotsail/bench/capacity.py
+++ b/libs/bench/src/bergamotsail/bench/capacity.py
@@ -59,7 +59,7 @@
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def _put(number: int) -> catalogue.Command:
+def _put_command(number: int) -> catalogue.Command:
     value = {
         "owner": "member-1",
         "pool": "llm",
@@ -93,7 +93,7 @@
     for index, put in enumerate((pool, member), 1):
         machine.apply(index, wire.encode(catalogue.Command(put=put)))
     for number in range(entries):
-        machine.apply(number + 3, wire.encode(_put(number)))
+        machine.apply(number + 3, wire.encode(_put_command(number)))
     return machine
 
 
@@ -191,7 +191,7 @@
                 number + 1,
                 1,
                 quorum.EntryKind.COMMAND,
-                wire.encode(_put(number)),
+                wire.encode(_put_command(number)),
             )
             for number in range(LOG_ENTRIES)
         ]
--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -407,12 +407,12 @@
     figure, axes = pyplot.subplots(2, 1, figsize=(11, 8), sharex=True)
     names = list(by_workload)
     for offset, policy in enumerate(p.name for p in POLICIES):
-        places = [n + offset * 0.27 for n in range(len(names))]
+        positions = [n + offset * 0.27 for n in range(len(names))]
         rows = [by_workload[name][policy] for name in names]
         stalls = [row["load_stall_ms"]["p99"] for row in rows]
         batches = [row["batch_efficiency"] for row in rows]
-        axes[0].bar(places, stalls, 0.25, label=policy)
-        axes[1].bar(places, batches, 0.25, label=policy)
+        axes[0].bar(positions, stalls, 0.25, label=policy)
+        axes[1].bar(positions, batches, 0.25, label=policy)
     axes[0].set_ylabel("load stall p99, ms")
     axes[1].set_ylabel("batch efficiency")
     axes[1].set_xticks(range(len(names)), names, rotation=45, ha="right")
--- a/libs/standins/src/bergamotsail/standins/_disk.py
+++ b/libs/standins/src/bergamotsail/standins/_disk.py
@@ -77,7 +77,7 @@
         return (synced or b"") + (pending or b"")
 
     async def append(self, name: str, data: bytes) -> None:
-        await self._check()
+        await self._block_if_crashed()
         if self.full:
             raise quorum.DiskError("The disk is full.")
         pending = self._pending_by_name.get(name, b"")
@@ -85,7 +85,7 @@
 
     async def sync(self, name: str) -> None:
         await asyncio.sleep(self.sync_s)
-        await self._check()
+        await self._block_if_crashed()
         if self.fail_syncs:
             self._pending_by_name.pop(name, None)
             raise quorum.DiskError("The sync failed.")
@@ -99,7 +99,7 @@
 
     async def rename(self, old: str, new: str) -> None:
         await asyncio.sleep(self.sync_s)
-        await self._check()
+        await self._block_if_crashed()
         self._synced_by_name[new] = self._synced_by_name.pop(old, b"")
         self._pending_by_name.pop(new, None)
         if old in self._pending_by_name:
@@ -107,11 +107,11 @@
             self._pending_by_name[new] = pending
 
     async def remove(self, name: str) -> None:
-        await self._check()
+        await self._block_if_crashed()
         self._synced_by_name.pop(name, None)
         self._pending_by_name.pop(name, None)
 
-    async def _check(self) -> None:
+    async def _block_if_crashed(self) -> None:
         if self.dead:
             # A crashed process writes nothing more: block until its tasks
             # are cancelled.
--- a/libs/standins/src/bergamotsail/standins/_http.py
+++ b/libs/standins/src/bergamotsail/standins/_http.py
@@ -123,7 +123,7 @@
                     if not started:
                         self.set_header("Content-Type", "text/event-stream")
                     started = True
-                    self.write(_event(chunk))
+                    self.write(_encode_event(chunk))
                     await self.flush()
             self.write(b"data: [DONE]\n\n")
         except wire.PeerLostError:
@@ -134,7 +134,7 @@
             self.write(wire.encode(error.body()) + b"\n")
 
 
-def _event(chunk: targets.Chunk) -> bytes:
+def _encode_event(chunk: targets.Chunk) -> bytes:
     event = {
         "id": chunk.stream_id,
         "model": chunk.adapter,
--- a/libs/standins/src/bergamotsail/standins/_network.py
+++ b/libs/standins/src/bergamotsail/standins/_network.py
@@ -111,9 +111,9 @@
         extra_s = self.rng.random() * self.slow
         await asyncio.sleep(DELAY_S * (1 + self.rng.random()) + extra_s)
 
-    def is_cut(self, source: str, target: str) -> bool:
-        """Return whether messages from source to target are dropped."""
-        return (source, target) in self.cuts
+    def is_cut(self, source: str, destination: str) -> bool:
+        """Return whether messages from source to destination are dropped."""
+        return (source, destination) in self.cuts
 
 
 class MemoryTransport(wire.PeerTransport):
@@ -136,12 +136,12 @@
         handler_task: asyncio.Task | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                target = await self._reach_host(address)
+                destination = await self._reach_host(address)
                 if self._network.rng.random() < self._network.duplicate:
-                    self._deliver(target, call, message)
-                handler_task = self._deliver(target, call, message)
+                    self._deliver(destination, call, message)
+                handler_task = self._deliver(destination, call, message)
                 reply = await asyncio.shield(handler_task)
-                await self._return_reply(address, target)
+                await self._return_reply(address, destination)
                 data = wire.encode(reply)
                 await self._network.transfer(self._address, len(data))
                 return wire.decode(data, call.reply)
@@ -153,7 +153,9 @@
             raise wire.PeerLostError(f"{address} was lost.") from None
         finally:
             if handler_task is not None and not handler_task.done():
-                _spawn(target, self._cancel_handler(address, handler_task))
+                _spawn(
+                    destination, self._cancel_handler(address, handler_task)
+                )
 
     async def _cancel_handler(
         self, address: str, handler_task: asyncio.Task
@@ -172,17 +174,18 @@
     ) -> collections.abc.AsyncIterator[typing.Any]:
         try:
             async with asyncio.timeout(min(timeout_s, 1.0)):
-                target = await self._reach_host(address)
+                destination = await self._reach_host(address)
         except TimeoutError:
             raise _timeout_error(address, False) from None
         replies: asyncio.Queue = asyncio.Queue()
         handler_task = _spawn(
-            target, self._run_stream_handler(target, call, message, replies)
+            destination,
+            self._run_stream_handler(destination, call, message, replies),
         )
         try:
             while True:
                 reply = await replies.get()
-                await self._return_reply(address, target)
+                await self._return_reply(address, destination)
                 if isinstance(reply, wire.ServingError):
                     raise wire.error_from_body(reply.body())
                 if reply is None:
@@ -195,18 +198,18 @@
 
     async def _run_stream_handler(
         self,
-        target: Host,
+        destination: Host,
         call: wire.Call,
         message: typing.Any,
         replies: asyncio.Queue,
     ) -> None:
-        """Run a streaming handler at the target."""
+        """Run a streaming handler at the destination."""
         try:
-            _, handler = target.server.find(call.name)
+            _, handler = destination.server.find(call.name)
             copy = wire.decode(wire.encode(message), call.request)
             async with contextlib.aclosing(handler(copy)) as items:
                 async for reply in items:
-                    await target.awake.wait()
+                    await destination.awake.wait()
                     replies.put_nowait(reply)
             replies.put_nowait(None)
         except wire.ServingError as error:
@@ -230,31 +233,31 @@
             await asyncio.Event().wait()
         while self._network.is_cut(self._address, address):
             await asyncio.sleep(0.05)
-        target = self._network.host_by_address.get(address)
-        if target is None or target.dead:
+        destination = self._network.host_by_address.get(address)
+        if destination is None or destination.dead:
             raise wire.NotSentError(f"Nothing listens at {address}.")
-        return target
+        return destination
 
-    async def _return_reply(self, address: str, target: Host) -> None:
+    async def _return_reply(self, address: str, destination: Host) -> None:
         await self._network.delay()
-        if target.dead:
+        if destination.dead:
             raise wire.PeerLostError(f"{address} was lost.")
         while self._network.is_cut(address, self._address):
             await asyncio.sleep(0.05)
         await self._host().awake.wait()
 
     def _deliver(
-        self, target: Host, call: wire.Call, message: typing.Any
+        self, destination: Host, call: wire.Call, message: typing.Any
     ) -> asyncio.Task:
         async def handle() -> typing.Any:
-            await target.awake.wait()
-            _, handler = target.server.find(call.name)
+            await destination.awake.wait()
+            _, handler = destination.server.find(call.name)
             copy = wire.decode(wire.encode(message), call.request)
             reply = await handler(copy)
-            await target.awake.wait()
+            await destination.awake.wait()
             return reply
 
-        return _spawn(target, handle())
+        return _spawn(destination, handle())
 
 
 def _spawn(host: Host, coroutine: collections.abc.Coroutine) -> asyncio.Task:
--- a/libs/standins/src/bergamotsail/standins/_others.py
+++ b/libs/standins/src/bergamotsail/standins/_others.py
@@ -97,8 +97,8 @@
     def set(self, instances: tuple[targets.Instance, ...]) -> None:
         """Replace the list; the first one is visible immediately."""
         now = asyncio.get_running_loop().time()
-        shows_at = now + self.lag_s if self._history else now
-        self._history.append((shows_at, instances))
+        visible_at = now + self.lag_s if self._history else now
+        self._history.append((visible_at, instances))
 
     def read(self) -> tuple[targets.Instance, ...]:
         """Return the list that is visible now.
@@ -110,7 +110,7 @@
             raise self.fault
         now = asyncio.get_running_loop().time()
         shown: tuple[targets.Instance, ...] = ()
-        for shows_at, instances in self._history:
-            if shows_at <= now:
+        for visible_at, instances in self._history:
+            if visible_at <= now:
                 shown = instances
         return shown
