--- a/libs/bench/src/bergamotsail/bench/_workloads.py
+++ b/libs/bench/src/bergamotsail/bench/_workloads.py
@@ -128,7 +128,7 @@
 def belady_loads(
     arrivals: collections.abc.Sequence[Arrival], slots: int, warmup_end: float
 ) -> int:
-    """Return the loads of Belady's optimal eviction after the warm-up.
+    """Return the loads after the warm-up under Belady's optimal eviction.
 
     The slots of all engines are treated as one cache, and the adapter whose
     next use is furthest in the future is evicted. This is a lower bound for
--- a/libs/bench/src/bergamotsail/bench/capacity.py
+++ b/libs/bench/src/bergamotsail/bench/capacity.py
@@ -403,7 +403,7 @@
 async def _measure_takeover(
     system: bench.System, http: wire.HttpClient
 ) -> list[Measurement]:
-    """Measure the time until the target of a killed owner has a new one."""
+    """Measure the time until a killed owner's target has a new owner."""
     status = await system.admin(http, "GET", "/admin/v1/status")
     owner_by_target = {
         t["info"]["id"]: (t["owner"] or "").partition("#")[0]
--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -145,7 +145,10 @@
 async def _inject_event(
     deployment: _virtual.Deployment, event: str, seconds: float
 ) -> None:
-    """Inject the fault or change of an event half-way through a run."""
+    """Inject the fault or change of an event half-way through a run.
+
+    The events "shift" and "flood" are part of the trace instead.
+    """
     await asyncio.sleep(seconds / 2)
     engines = list(deployment.engine_by_address.values())
     addresses = list(deployment.daemon_by_address)
@@ -429,7 +432,10 @@
     with multiprocessing.Pool(_JOBS.value, maxtasksperchild=1) as pool:
         for figures in pool.imap(run_task, tasks):
             results.append(figures)
-            print(f"{len(results)} of {len(tasks)}", file=sys.stderr)
+            print(
+                f"Finished {len(results)} of {len(tasks)} runs.",
+                file=sys.stderr,
+            )
     by_workload: dict[str, dict[str, dict]] = collections.defaultdict(dict)
     for task, figures in zip(tasks, results):
         workload = f"{task.profile.name}/{task.event}"
--- a/libs/standins/src/bergamotsail/standins/_disk.py
+++ b/libs/standins/src/bergamotsail/standins/_disk.py
@@ -113,6 +113,6 @@
 
     async def _block_if_crashed(self) -> None:
         if self.dead:
-            # A crashed process writes nothing more: block until its tasks
-            # are cancelled.
+            # A crashed process writes nothing more: block until the task is
+            # cancelled.
             await asyncio.Event().wait()
--- a/libs/standins/src/bergamotsail/standins/_engine.py
+++ b/libs/standins/src/bergamotsail/standins/_engine.py
@@ -120,7 +120,10 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     def restart(self) -> None:
-        """Restart with no residents and no epoch; running streams fail."""
+        """Restart the engine; its running streams fail.
+
+        The new incarnation has no residents and has seen no fencing token.
+        """
         lost = list(self._sequence_by_stream.values())
         self._reset()
         self._highest_epoch = 0
@@ -136,7 +139,7 @@
         )
 
     def report(self) -> targets.EngineReport:
-        """Return the newest report of at least ``report_lag_s`` in age.
+        """Return the newest report that is at least ``report_lag_s`` old.
 
         If none is that old, the oldest one is returned.
         """
@@ -209,7 +212,9 @@
         for sequence in self._running_sequences():
             if sequence.run.adapter == name:
                 self.evicted_while_serving.append(name)
-                sequence.error = wire.EngineError("The adapter was evicted.")
+                sequence.error = wire.EngineError(
+                    f"Adapter {name} was evicted while it was in use."
+                )
                 sequence.finished = True
                 sequence.wake()
 
@@ -251,7 +256,9 @@
         if run.resume_after is not None:
             sequence = self._sequence_by_stream.get(run.stream_id)
             if sequence is None:
-                raise wire.EngineError("The stream to resume does not exist.")
+                raise wire.EngineError(
+                    f"Can't resume stream {run.stream_id}: it does not exist."
+                )
             return sequence
         if run.adapter not in self.residents and self.settings.sloppy:
             held = min(self.residents, default="base")
--- a/libs/standins/src/bergamotsail/standins/_http.py
+++ b/libs/standins/src/bergamotsail/standins/_http.py
@@ -174,7 +174,7 @@
         if control.load_hang_s is not None:
             self.engine.load_hang_s = control.load_hang_s
         if control.fail_loads is not None:
-            fault = wire.EngineError("Loads fail by an injected fault.")
+            fault = wire.EngineError("The load failed: injected fault.")
             self.engine.load_fault = fault if control.fail_loads else None
         if control.restart:
             self.engine.restart()
--- a/libs/standins/src/bergamotsail/standins/_network.py
+++ b/libs/standins/src/bergamotsail/standins/_network.py
@@ -150,7 +150,9 @@
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
                 raise
-            raise wire.PeerLostError(f"{address} was lost.") from None
+            raise wire.PeerLostError(
+                f"{address} stopped before it replied."
+            ) from None
         finally:
             if handler_task is not None and not handler_task.done():
                 _spawn(
@@ -215,7 +217,7 @@
         except wire.ServingError as error:
             replies.put_nowait(error)
         except asyncio.CancelledError:
-            replies.put_nowait(wire.PeerLostError("The peer was lost."))
+            replies.put_nowait(wire.PeerLostError("The peer stopped."))
             raise
 
     async def _reach_host(self, address: str) -> Host:
@@ -241,7 +243,7 @@
     async def _return_reply(self, address: str, destination: Host) -> None:
         await self._network.delay()
         if destination.dead:
-            raise wire.PeerLostError(f"{address} was lost.")
+            raise wire.PeerLostError(f"{address} stopped before it replied.")
         while self._network.is_cut(address, self._address):
             await asyncio.sleep(0.05)
         await self._host().awake.wait()
