--- a/libs/bench/src/bergamotsail/bench/_workloads.py
+++ b/libs/bench/src/bergamotsail/bench/_workloads.py
@@ -128,18 +128,20 @@
 def belady_loads(
     arrivals: collections.abc.Sequence[Arrival], slots: int, warmup_end: float
 ) -> int:
-    """Return the loads of Belady's optimal eviction after the warm-up.
+    """Return the loads after the warm-up under Belady's optimal eviction.
 
     The slots of all engines are treated as one cache, and the adapter whose
     next use is furthest in the future is evicted. This is a lower bound for
     every policy that serves the requests in order.
     """
     next_uses: list[float] = [0.0] * len(arrivals)
-    next_at: dict[int, float] = {}
+    next_position_by_adapter: dict[int, float] = {}
     for position in range(len(arrivals) - 1, -1, -1):
         adapter = arrivals[position].adapter
-        next_uses[position] = next_at.get(adapter, float("inf"))
-        next_at[adapter] = position
+        next_uses[position] = next_position_by_adapter.get(
+            adapter, float("inf")
+        )
+        next_position_by_adapter[adapter] = position
     next_use_by_adapter: dict[int, float] = {}
     eviction_heap: list[tuple[float, int]] = []
     loads = 0
--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -145,7 +145,10 @@
 async def _inject_event(
     deployment: _virtual.Deployment, event: str, seconds: float
 ) -> None:
-    """Inject the fault or change of an event half-way through a run."""
+    """Inject the fault or change of an event half-way through a run.
+
+    The events "shift" and "flood" are part of the trace instead.
+    """
     await asyncio.sleep(seconds / 2)
     engines = list(deployment.engine_by_address.values())
     addresses = list(deployment.daemon_by_address)
@@ -407,12 +410,12 @@
     figure, axes = pyplot.subplots(2, 1, figsize=(11, 8), sharex=True)
     names = list(by_workload)
     for offset, policy in enumerate(p.name for p in POLICIES):
-        places = [n + offset * 0.27 for n in range(len(names))]
+        positions = [n + offset * 0.27 for n in range(len(names))]
         rows = [by_workload[name][policy] for name in names]
         stalls = [row["load_stall_ms"]["p99"] for row in rows]
         batches = [row["batch_efficiency"] for row in rows]
-        axes[0].bar(places, stalls, 0.25, label=policy)
-        axes[1].bar(places, batches, 0.25, label=policy)
+        axes[0].bar(positions, stalls, 0.25, label=policy)
+        axes[1].bar(positions, batches, 0.25, label=policy)
     axes[0].set_ylabel("load stall p99, ms")
     axes[1].set_ylabel("batch efficiency")
     axes[1].set_xticks(range(len(names)), names, rotation=45, ha="right")
@@ -429,7 +432,10 @@
     with multiprocessing.Pool(_JOBS.value, maxtasksperchild=1) as pool:
         for figures in pool.imap(run_task, tasks):
             results.append(figures)
-            print(f"{len(results)} of {len(tasks)}", file=sys.stderr)
+            print(
+                f"Finished {len(results)} of {len(tasks)} runs.",
+                file=sys.stderr,
+            )
     by_workload: dict[str, dict[str, dict]] = collections.defaultdict(dict)
     for task, figures in zip(tasks, results):
         workload = f"{task.profile.name}/{task.event}"
