--- a/features/growth.feature
+++ b/features/growth.feature
@@ -4,17 +4,17 @@
     Then the table with <fault> is refused with an error message
 
     Examples:
-      | fault           |
-      | unknown_pool    |
-      | no_weight       |
-      | negative_weight |
-      | no_pool         |
-      | no_timeout      |
-      | same_place      |
-      | no_slash        |
-      | no_attempts     |
-      | no_host         |
-      | no_version      |
+      | fault                |
+      | unknown_pool         |
+      | zero_weight          |
+      | negative_weight      |
+      | no_splits            |
+      | zero_timeout         |
+      | same_prefix          |
+      | prefix_without_slash |
+      | zero_attempts        |
+      | empty_host           |
+      | zero_version         |
 
   Scenario: The longest prefix of the host selects the route
     Then the longest prefix selects the route
@@ -34,39 +34,39 @@
     Then no promise is broken
 
     Examples:
-      | scenario                 |
-      | forms_by_itself          |
-      | part_of_a_library        |
-      | forms_with_slow_starters |
-      | forms_by_order_while_loading |
-      | called_while_loading     |
-      | votes_while_loading      |
-      | caller_gone_in_append    |
-      | log_out_of_step          |
-      | restart_then_power_loss  |
-      | luck_of_its_own          |
-      | split_votes_end          |
-      | cut_off_entry            |
-      | former_daemons_count     |
-      | moved_leader_wakes       |
-      | two_restart_at_once      |
-      | all_restart_at_once      |
-      | lease_outlives_restarts  |
-      | never_forms_twice        |
-      | successor_takes_a_place  |
-      | reads_are_the_newest     |
-      | late_hand_over           |
+      | scenario                          |
+      | seeds_form_one_log                |
+      | replica_imports_no_unused_modules |
+      | forms_with_slow_disks             |
+      | form_call_waits_for_disks         |
+      | no_appends_while_loading          |
+      | no_votes_while_loading            |
+      | append_survives_cancelled_call    |
+      | unordered_log_is_not_loaded       |
+      | restart_then_power_loss           |
+      | random_numbers_differ             |
+      | backoff_after_split_votes         |
+      | cut_off_entry_is_relayed          |
+      | daemons_of_former_leaders_count   |
+      | leader_change_wakes_callers       |
+      | two_replicas_restart              |
+      | all_replicas_restart              |
+      | lease_outlives_restarts           |
+      | no_second_log_is_formed           |
+      | new_replica_replaces_voter        |
+      | isolated_leader_confirms_no_read  |
+      | late_leadership_transfer          |
 
   Scenario: A new leader is not deposed by a candidate that wins no election
-    When the scenario won_leads_last of the log runs
+    When the scenario new_leader_is_not_deposed of the log runs
     Then no promise is broken
 
   Scenario: A candidate that has voted for another gives up its election
-    When the scenario slow_votes_end_stands of the log runs
+    When the scenario vote_for_another_ends_election of the log runs
     Then no promise is broken
 
   Scenario: Changes of a table of many routes reach entries in time
-    When the scenario many_routes_over_small_links of the log runs
+    When the scenario many_routes_over_slow_links of the log runs
     Then no promise is broken
 
   Scenario Outline: <scenario> of routes holds
@@ -74,21 +74,21 @@
     Then no promise is broken
 
     Examples:
-      | scenario                    |
-      | huge_table_over_small_links |
-      | huge_tables_in_a_row        |
-      | lost_fetch_is_repeated      |
+      | scenario                       |
+      | huge_table_over_slow_links     |
+      | frequent_changes_of_huge_table |
+      | stalled_fetch_is_repeated      |
 
   Scenario: As many replicas may be lost as the deployment says
     When the scenarios of lost replicas run
-      | scenario                  |
-      | disks_lost_in_a_power_cut |
-      | voters_away               |
-      | voters_grow_in_steps      |
-      | spare_takes_a_place       |
-      | disks_lost_during_repair  |
-      | disk_lost_twice           |
-      | lost_datacentre           |
+      | scenario                    |
+      | disks_lost_in_a_power_cut   |
+      | voters_without_power        |
+      | voters_are_added_one_by_one |
+      | learner_replaces_voter      |
+      | disks_lost_during_recovery  |
+      | disk_lost_twice             |
+      | lost_datacentre             |
     Then no promise is broken
 
   Scenario: Resends over all daemons stay within one budget
--- a/features/matrix.py
+++ b/features/matrix.py
@@ -20,7 +20,7 @@
 )
 _JOBS = flags.DEFINE_integer("jobs", 7, "Number of processes.")
 
-PROMISES = {
+GUARANTEES = {
     "exact": 1,
     "pinned": 2,
     "own_answer": 3,
@@ -38,7 +38,7 @@
         by_fault[result.case.fault].append(result)
     print(f"{'fault':24} {'cases':>6} {'passed':>7} {'failed':>7} not run")
     for fault, group in by_fault.items():
-        ran = [r for r in group if r.fired]
+        ran = [r for r in group if r.injected]
         failed = [r for r in ran if r.faults]
         print(
             f"{fault:24} {len(group):6} {len(ran) - len(failed):7} "
@@ -48,7 +48,7 @@
         for fault in result.faults:
             print(f"FAILED {result.case.name}: {fault}")
     for result in results:
-        if not result.fired:
+        if not result.injected:
             print(f"NOT RUN {result.case.name}: its step was not reached")
 
 
@@ -63,14 +63,14 @@
             if sys.stderr.isatty():
                 print(f"{len(results)} of {len(cases)}", file=sys.stderr)
     _print(results)
-    ran = [r for r in results if r.fired]
+    ran = [r for r in results if r.injected]
     failed = [r for r in ran if r.faults]
     summary = {
         "cases": len(results),
         "passed": len(ran) - len(failed),
         "failed": len(failed),
         "not_run": len(results) - len(ran),
-        "by_promise": {name: len(ran) for name in PROMISES},
+        "by_promise": {name: len(ran) for name in GUARANTEES},
     }
     print(json.dumps(summary))
     sys.exit(1 if failed else 0)
--- a/features/promises.feature
+++ b/features/promises.feature
@@ -11,31 +11,31 @@
       | scenario                   |
       | exact_adapter              |
       | withdrawn_version          |
-      | never_evicted              |
+      | no_eviction_while_serving  |
       | orphaned_runs              |
-      | own_whole_answer           |
-      | not_run_means_it           |
+      | mixed_and_lost_chunks      |
+      | reported_not_run           |
       | at_most_once               |
       | expired_keys               |
       | leaving_target             |
-      | leaving_unlisted           |
+      | leaving_list_unreachable   |
       | planned_stop               |
       | changes_survive_power_loss |
-      | changes_reach_cut_off      |
+      | changes_after_partition    |
       | operators_race             |
       | frozen_owner               |
       | cut_off_owner              |
-      | moving_targets             |
-      | moving_leader              |
-      | leave_at_dispatch          |
-      | limits_over_all            |
-      | limits_over_leaders        |
-      | rate_over_all              |
+      | targets_change_owner       |
+      | leadership_transfers       |
+      | disconnect_at_dispatch     |
+      | limit_across_daemons       |
+      | limit_across_leaders       |
+      | rate_across_daemons        |
       | runs_outlast_a_lease       |
       | runs_outlast_a_leader      |
-      | waiting_past_a_lease       |
+      | waiting_as_lease_ends      |
       | first_lease_lasts          |
-      | shares_noted_before        |
+      | old_share_notes_readable   |
 
   Scenario: Every guard that is switched off is noticed
     When each guard is switched off in its scenario
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -260,7 +260,9 @@
     context.run.system.kill("entry-2")
 
 
-async def _begin_long_answer(run: RunningSystem, avoid_owner: bool) -> dict:
+async def _begin_long_answer(
+    run: RunningSystem, skip_first_entry: bool
+) -> dict:
     """Start a long completion at a daemon that does not own the engine.
 
     A daemon that does not know yet where the adapter is resident may choose
@@ -274,7 +276,8 @@
         entry = next(
             name
             for name in run.running()
-            if name != owner and (not avoid_owner or name not in ("entry-0",))
+            if name != owner
+            and (not skip_first_entry or name not in ("entry-0",))
         )
         before = await _runs_by_engine(run)
         task = asyncio.ensure_future(
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -61,8 +61,8 @@
 
 @behave.then("at least {count:d} cases reached their step")
 def reached(context, count: int) -> None:
-    fired = sum(result.fired for result in context.results)
-    assert fired >= count, fired
+    injected = sum(result.injected for result in context.results)
+    assert injected >= count, injected
 
 
 @behave.when("{count:d} random histories of the {machine} are tried")
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -25,7 +25,7 @@
 from features.support import world as world_lib
 
 FIXED_SEED = 1
-PLACES = st.integers(0, 4)
+ENTRY_NUMBERS = st.integers(0, 4)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     "engine_restart",
     "lose_replies",
     "fail_loads",
-    "crossed",
+    "disorder_messages",
     "stop",
     "hand_over",
     "transfer",
@@ -65,7 +65,7 @@
     return st.builds(
         Command,
         st.sampled_from(CALLS + CALLS + FAULTS),
-        PLACES,
+        ENTRY_NUMBERS,
         st.integers(0, 7),
         st.sampled_from((0.0, 0.02, 0.2, 1.0)),
     )
@@ -187,7 +187,7 @@
         engine = self._world.engine(command.number % 2)
         engine.load_fault = wire.EngineError("The load failed.")
 
-    async def _crossed(self, command: Command) -> None:
+    async def _disorder_messages(self, command: Command) -> None:
         self._world.network.duplicate = 0.3
         self._world.network.slow = 0.2
 
@@ -257,8 +257,8 @@
     def put(self, number, revision, operation, weight, delete) -> None:
         """Set or delete a member, possibly resent or at an old revision."""
         name = f"member-{number}"
-        stands = self.model.get(name, (0, ""))[0]
-        wanted = stands if revision == "current" else revision
+        current_revision = self.model.get(name, (0, ""))[0]
+        wanted = current_revision if revision == "current" else revision
         token = catalogue.hash_token(f"{name}")
         value = json.dumps({"token_sha256": token, "weight": weight})
         put = catalogue.Put(
@@ -276,13 +276,13 @@
             return
         self.replies[put.operation_id] = reply
         refused = (
-            (wanted is not None and wanted != stands)
+            (wanted is not None and wanted != current_revision)
             or (not delete and weight <= 0)
-            or (delete and not stands)
+            or (delete and not current_revision)
         )
         assert (reply.conflict is not None) == refused, (put, reply)
         if refused:
-            assert reply.revision == stands
+            assert reply.revision == current_revision
         elif delete:
             del self.model[name]
         else:
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -53,15 +53,15 @@
 
 BAD_TABLES = {
     "unknown_pool": table(route(splits=(catalogue.Split("nowhere"),))),
-    "no_weight": table(route(splits=(catalogue.Split("llm", 0),))),
+    "zero_weight": table(route(splits=(catalogue.Split("llm", 0),))),
     "negative_weight": table(route(splits=(catalogue.Split("llm", -1),))),
-    "no_pool": table(route(splits=())),
-    "no_timeout": table(route(timeout_s=0)),
-    "same_place": table(route("r1"), route("r2", prefix="/r1/")),
-    "no_slash": table(route(prefix="/quotes")),
-    "no_attempts": table(route(attempts=0)),
-    "no_host": table(route(host="")),
-    "no_version": table(route(), version=0),
+    "no_splits": table(route(splits=())),
+    "zero_timeout": table(route(timeout_s=0)),
+    "same_prefix": table(route("r1"), route("r2", prefix="/r1/")),
+    "prefix_without_slash": table(route(prefix="/quotes")),
+    "zero_attempts": table(route(attempts=0)),
+    "empty_host": table(route(host="")),
+    "zero_version": table(route(), version=0),
 }
 
 
@@ -106,8 +106,8 @@
         catalogue.Split("llm", 1),
     )
     index = catalogue.RouteIndex(table(route(splits=splits)))
-    (only,) = index.table.routes
-    names = [index.choose_pool(only, f"q{n}").name for n in range(2000)]
+    (only_route,) = index.table.routes
+    names = [index.choose_pool(only_route, f"q{n}").name for n in range(2000)]
     share = names.count("llm") / len(names)
     return [] if 0.07 < share < 0.13 else [f"llm got {share}"]
 
@@ -219,7 +219,7 @@
     return faults
 
 
-async def former_daemons_count() -> list[str]:
+async def daemons_of_former_leaders_count() -> list[str]:
     """For one lease a session keeps the daemons that former leaders knew.
 
     A new leader knows only the daemons that have contacted it. Here two are
@@ -332,7 +332,7 @@
     return wire.encode(catalogue.Command(replace_routes=replace))
 
 
-async def forms_by_itself() -> list[str]:
+async def seeds_form_one_log() -> list[str]:
     """Three replicas with empty disks and the same seeds form one log."""
     replicas = await _form_replicas()
     voters = {len(n.config.voters) for n in replicas.node_by_address.values()}
@@ -341,7 +341,7 @@
     return [] if voters == {3} else [f"voters {voters}"]
 
 
-async def _check_voters_run(replicas: Replicas) -> list[str]:
+async def _check_running_replicas_vote(replicas: Replicas) -> list[str]:
     """Commit a change, then check that the voters are the running nodes."""
     leader = await replicas.leader()
     await leader.propose(_change(1))
@@ -350,7 +350,7 @@
     return [] if voters == running else [f"voters {voters}, running {running}"]
 
 
-async def forms_with_slow_starters() -> list[str]:
+async def forms_with_slow_disks() -> list[str]:
     """No log is formed with a replica that has not read its own id yet.
 
     Otherwise, the first configuration would name a member that does not
@@ -362,10 +362,10 @@
         replicas.disk_by_address[address].read_s = read_s
         starts.append(replicas.start(address, True))
     await asyncio.gather(*starts)
-    return await _check_voters_run(replicas)
+    return await _check_running_replicas_vote(replicas)
 
 
-async def forms_by_order_while_loading() -> list[str]:
+async def form_call_waits_for_disks() -> list[str]:
     """A call to form the log waits until all seeds have read their disks."""
     replicas = Replicas(3)
     starts = []
@@ -375,10 +375,10 @@
     await asyncio.sleep(0.1)
     await replicas.node_by_address[replicas.addresses[0]].form()
     await asyncio.gather(*starts)
-    return await _check_voters_run(replicas)
+    return await _check_running_replicas_vote(replicas)
 
 
-async def called_while_loading() -> list[str]:
+async def no_appends_while_loading() -> list[str]:
     """A replica that is still reading its disk stores and confirms nothing.
 
     An entry written too early would leave the log on disk out of order.
@@ -408,7 +408,7 @@
     return faults
 
 
-async def votes_while_loading() -> list[str]:
+async def no_votes_while_loading() -> list[str]:
     """A replica that is still reading its disk grants no vote.
 
     It could elect a candidate whose log is behind its own, which would lose
@@ -436,7 +436,7 @@
     return [] if found == "2" else [f"{found} in force, 2 acknowledged"]
 
 
-async def caller_gone_in_append() -> list[str]:
+async def append_survives_cancelled_call() -> list[str]:
     """A follower completes a write although the leader cancels its call.
 
     A write that ends half-way would leave the log on disk out of order.
@@ -465,7 +465,7 @@
     return faults
 
 
-async def log_out_of_step() -> list[str]:
+async def unordered_log_is_not_loaded() -> list[str]:
     """A log with a gap or a repeat in its indexes is not loaded."""
     storage = quorum.Storage(standins.MemoryDisk(random.Random(1)))
     await storage.load()
@@ -481,7 +481,7 @@
     return ["A log with entries 1, 2, 1, 2 was loaded."]
 
 
-async def never_forms_twice() -> list[str]:
+async def no_second_log_is_formed() -> list[str]:
     """Replicas with empty disks form no log when started with forms=False.
 
     The flag says that this is not the first start of the deployment.
@@ -494,7 +494,7 @@
     return [f"{len(formed)} replicas formed a log"] if formed else []
 
 
-async def successor_takes_a_place() -> list[str]:
+async def new_replica_replaces_voter() -> list[str]:
     """A replica with a new name replaces a voter that is gone."""
     replicas = await _form_replicas(4)
     leader = await replicas.leader()
@@ -520,7 +520,7 @@
     return faults
 
 
-async def reads_are_the_newest() -> list[str]:
+async def isolated_leader_confirms_no_read() -> list[str]:
     """A leader that is cut off can't confirm its leadership for a read."""
     replicas = await _form_replicas()
     leader = await replicas.leader()
@@ -570,12 +570,12 @@
 # Number of contested elections, the time within which a leader must emerge,
 # and how long the first leader is watched: far less than an election
 # time-out.
-ELECTIONS = 100
+ELECTION_COUNT = 100
 MAX_ELECTION_S = 3.0
 STABLE_LEADER_S = 0.25
 
 
-class EmptyList(targets.InstanceList):
+class EmptyInstanceList(targets.InstanceList):
     """An instance list without targets."""
 
     async def read(self) -> tuple[targets.Instance, ...]:
@@ -605,7 +605,7 @@
     replicas: Replicas,
     lease: control.LeaseTiming,
     stack: contextlib.AsyncExitStack,
-    instances: targets.InstanceList = EmptyList(),
+    instances: targets.InstanceList = EmptyInstanceList(),
 ) -> None:
     """Run a coordinator on each replica."""
     for address in replicas.addresses:
@@ -621,7 +621,7 @@
         await stack.enter_async_context(coordinator)
 
 
-async def cut_off_entry() -> list[str]:
+async def cut_off_entry_is_relayed() -> list[str]:
     """An entry that reaches no replica is relayed by a neighbour."""
     replicas = await _form_replicas()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
@@ -727,7 +727,7 @@
     return faults, received
 
 
-async def many_routes_over_small_links() -> list[str]:
+async def many_routes_over_slow_links() -> list[str]:
     """Changes of a table of 1,500 routes reach entries behind 5 Mbit/s.
 
     Forty changes within a second take fewer bytes than the plain text of one
@@ -741,7 +741,7 @@
     return faults
 
 
-async def huge_table_over_small_links() -> list[str]:
+async def huge_table_over_slow_links() -> list[str]:
     """A table that doesn't fit a heartbeat reply is fetched separately.
 
     12,000 routes with random names are 0.3 MB on the wire, which takes 1 s
@@ -751,7 +751,7 @@
     return faults
 
 
-async def huge_tables_in_a_row() -> list[str]:
+async def frequent_changes_of_huge_table() -> list[str]:
     """Leases hold while each heartbeat reply asks for another fetch.
 
     A fetch takes 0.6 s, and the table changes every 0.2 s.
@@ -760,7 +760,7 @@
     return faults
 
 
-async def lost_fetch_is_repeated() -> list[str]:
+async def stalled_fetch_is_repeated() -> list[str]:
     """A fetch that stalls is abandoned and repeated within 4 s."""
     replicas = await _form_replicas()
     lease = control.LeaseTiming(2.0, 0.3, call_s=0.6)
@@ -783,7 +783,7 @@
     return faults
 
 
-async def moved_leader_wakes() -> list[str]:
+async def leader_change_wakes_callers() -> list[str]:
     """Callers that wait for a lost leader are woken when another is found."""
     faults = []
     for seed in range(10):
@@ -806,7 +806,7 @@
     return faults
 
 
-async def two_restart_at_once() -> list[str]:
+async def two_replicas_restart() -> list[str]:
     """Two of three replicas that restart together elect a leader soon.
 
     Each needs the other's vote; candidates that always start their elections
@@ -830,7 +830,7 @@
     return faults
 
 
-async def all_restart_at_once() -> list[str]:
+async def all_replicas_restart() -> list[str]:
     """After a restart of all replicas one leads before the election time-out.
 
     They can elect one early, since none of them can still hold a lease.
@@ -890,7 +890,7 @@
     return faults
 
 
-async def won_leads_last() -> list[str]:
+async def new_leader_is_not_deposed() -> list[str]:
     """A new leader is not deposed by a candidate that wins no election.
 
     Two replicas start elections within 20 ms, sometimes with different
@@ -898,7 +898,7 @@
     So a leadership that ends was ended by the other candidate.
     """
     faults = []
-    for seed in range(ELECTIONS):
+    for seed in range(ELECTION_COUNT):
         replicas = await _form_replicas(seed=seed)
         await asyncio.sleep(1.0)
         faults += [
@@ -909,7 +909,7 @@
     return faults
 
 
-async def late_hand_over() -> list[str]:
+async def late_leadership_transfer() -> list[str]:
     """A leadership transfer is valid only in the term that it was sent in.
 
     Carried out later, it would bypass the lease of the next leader.
@@ -934,14 +934,15 @@
     return ["It bypassed the next leader's lease."] if any(elections) else []
 
 
-async def slow_votes_end_stands() -> list[str]:
+async def vote_for_another_ends_election() -> list[str]:
     """A candidate that has voted for another gives up its own election.
 
-    Like won_leads_last with equal terms, but with one-way delays of up to
-    80 ms, longer than a pre-vote reserves a replica for its candidate.
+    Like new_leader_is_not_deposed with equal terms, but with one-way delays
+    of up to 80 ms, longer than a pre-vote reserves a replica for its
+    candidate.
     """
     faults = []
-    for seed in range(ELECTIONS):
+    for seed in range(ELECTION_COUNT):
         replicas = await _form_replicas(seed=seed)
         await asyncio.sleep(1.0)
         replicas.network.slow = 0.08
@@ -1018,7 +1019,7 @@
     return [] if found == left else [f"{len(found)} found, {len(left)} left"]
 
 
-async def luck_of_its_own() -> list[str]:
+async def random_numbers_differ() -> list[str]:
     """Daemons draw different numbers although uuid4 returns the same."""
     same = unittest.mock.patch.object(uuid, "uuid4", lambda: uuid.UUID(int=7))
     with same:
@@ -1032,7 +1033,7 @@
     return [] if found == (20, 20, 5) else [str(found)]
 
 
-async def split_votes_end() -> list[str]:
+async def backoff_after_split_votes() -> list[str]:
     """A candidate waits a random time after a split vote.
 
     Here each pre-vote succeeds and each vote is split, as if others started
@@ -1122,7 +1123,7 @@
     ) -> None:
         super().__init__(count, seed)
         self.losses = losses
-        self.instances: targets.InstanceList = EmptyList()
+        self.instances: targets.InstanceList = EmptyInstanceList()
         self.datacentre_by_address = dict(
             zip(self.addresses, itertools.cycle(datacentres))
         )
@@ -1244,19 +1245,19 @@
 
 
 async def _run_with_seeds(
-    work: collections.abc.Callable[
+    check: collections.abc.Callable[
         [DeployedReplicas], collections.abc.Awaitable[list[str]]
     ],
-    make: collections.abc.Callable[[int], DeployedReplicas],
+    make_replicas: collections.abc.Callable[[int], DeployedReplicas],
     seeds: range,
 ) -> list[str]:
     """Run a scenario with several seeds; return faults with their seed."""
     faults = []
     for seed in seeds:
-        replicas = make(seed)
+        replicas = make_replicas(seed)
         await replicas.start_all()
         try:
-            found = await work(replicas)
+            found = await check(replicas)
         except wire.ServingError as error:
             found = [error.message]
         faults += [f"seed {seed}: {fault}" for fault in found]
@@ -1264,7 +1265,7 @@
     return faults
 
 
-def _five_or_six(seed: int) -> DeployedReplicas:
+def _five_or_six_replicas(seed: int) -> DeployedReplicas:
     """Return five replicas, or six, of which one is not a voter."""
     return DeployedReplicas(5 + seed % 2, seed)
 
@@ -1272,7 +1273,7 @@
 async def disks_lost_in_a_power_cut() -> list[str]:
     """The tolerated number of disks is lost while all others lose power."""
 
-    async def work(replicas: DeployedReplicas) -> list[str]:
+    async def check(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await replicas.commit_version(1)
         lost = replicas.sample_voters(await replicas.leader())
@@ -1286,13 +1287,13 @@
         faults += await replicas.check_recovery(4.0)
         return faults or await replicas.wait_for_voter_count(5)
 
-    return await _run_with_seeds(work, _five_or_six, range(10))
+    return await _run_with_seeds(check, _five_or_six_replicas, range(10))
 
 
-async def voters_away() -> list[str]:
+async def voters_without_power() -> list[str]:
     """The log is available while the tolerated number is without power."""
 
-    async def work(replicas: DeployedReplicas) -> list[str]:
+    async def check(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await replicas.commit_version(1)
         for address in replicas.sample_voters(await replicas.leader()):
@@ -1307,21 +1308,23 @@
         faults += await replicas.wait_for_voter_count(5)
         return faults + await replicas.check_leader(2, 0.1)
 
-    return await _run_with_seeds(work, _five_or_six, range(10))
+    return await _run_with_seeds(check, _five_or_six_replicas, range(10))
 
 
-async def voters_grow_in_steps() -> list[str]:
+async def voters_are_added_one_by_one() -> list[str]:
     """The seeds form the log; others become voters one by one, to a limit."""
     faults = []
     for losses, count in ((2, 5), (2, 7), (1, 5), (3, 9)):
         for seed in range(3):
-            found = await _check_growth(DeployedReplicas(count, seed, losses))
+            found = await _check_voter_growth(
+                DeployedReplicas(count, seed, losses)
+            )
             where = f"{losses} losses, {count} replicas, seed {seed}"
             faults += [f"{where}: {fault}" for fault in found]
     return faults
 
 
-async def _check_growth(replicas: DeployedReplicas) -> list[str]:
+async def _check_voter_growth(replicas: DeployedReplicas) -> list[str]:
     """Start all replicas and check each configuration that takes effect."""
     faults: list[str] = []
     await replicas.start_all()
@@ -1347,13 +1350,13 @@
     return faults
 
 
-async def spare_takes_a_place() -> list[str]:
+async def learner_replaces_voter() -> list[str]:
     """A spare learner replaces a voter that is gone.
 
     The former voter returns as a learner, and replaces the next one.
     """
 
-    async def work(replicas: DeployedReplicas) -> list[str]:
+    async def check(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await asyncio.sleep(2.0)
         leader = await replicas.leader()
@@ -1379,14 +1382,14 @@
         return faults + await replicas.check_leader(1, 0.1)
 
     return await _run_with_seeds(
-        work, lambda n: DeployedReplicas(6, n), range(6)
+        check, lambda n: DeployedReplicas(6, n), range(6)
     )
 
 
-async def disks_lost_during_repair() -> list[str]:
+async def disks_lost_during_recovery() -> list[str]:
     """Another disk is lost while the replica of the first one recovers."""
 
-    async def work(replicas: DeployedReplicas) -> list[str]:
+    async def check(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         await replicas.commit_version(1)
         lost = replicas.sample_voters(await replicas.leader())
@@ -1401,13 +1404,13 @@
         faults += await replicas.check_recovery(4.0)
         return faults or await replicas.wait_for_voter_count(5)
 
-    return await _run_with_seeds(work, _five_or_six, range(10))
+    return await _run_with_seeds(check, _five_or_six_replicas, range(10))
 
 
 async def disk_lost_twice() -> list[str]:
     """A learner that loses its disk again still becomes a voter."""
 
-    async def work(replicas: DeployedReplicas) -> list[str]:
+    async def check(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
         leader = await replicas.leader()
         others = replicas.voters(leader) - {leader.member.address}
@@ -1429,7 +1432,7 @@
         return faults + ([wrong] if wrong else [])
 
     return await _run_with_seeds(
-        work, lambda n: DeployedReplicas(5, n), range(5)
+        check, lambda n: DeployedReplicas(5, n), range(5)
     )
 
 
@@ -1440,7 +1443,7 @@
     too.
     """
 
-    async def work(replicas: DeployedReplicas) -> list[str]:
+    async def check(replicas: DeployedReplicas) -> list[str]:
         wanted = 2 * replicas.losses + 1
         faults = await replicas.wait_for_voter_count(wanted)
         await asyncio.sleep(6.0)
@@ -1457,17 +1460,17 @@
         await asyncio.sleep(0.6)
         return faults + await replicas.check_leader(1, 3.0)
 
-    crowded = ("da", "da", "da", "da", "db", "db", "dc", "dc")
-    in_two = ("da", "da", "db", "da", "dc")
+    seeds_in_one = ("da", "da", "da", "da", "db", "db", "dc", "dc")
+    seeds_in_two = ("da", "da", "db", "da", "dc")
     faults = await _run_with_seeds(
-        work, lambda n: DeployedReplicas(8, n, 2, crowded), range(5)
+        check, lambda n: DeployedReplicas(8, n, 2, seeds_in_one), range(5)
     )
     return faults + await _run_with_seeds(
-        work, lambda n: DeployedReplicas(5, n, 1, in_two), range(5)
+        check, lambda n: DeployedReplicas(5, n, 1, seeds_in_two), range(5)
     )
 
 
-async def part_of_a_library() -> list[str]:
+async def replica_imports_no_unused_modules() -> list[str]:
     """A program that uses only the replica imports no unused modules."""
     program = (
         "import sys; from bergamotsail import daemon; daemon.Replica; "
@@ -1493,38 +1496,38 @@
 
 
 SCENARIOS = {
-    "former_daemons_count": former_daemons_count,
-    "part_of_a_library": part_of_a_library,
-    "cut_off_entry": cut_off_entry,
+    "daemons_of_former_leaders_count": daemons_of_former_leaders_count,
+    "replica_imports_no_unused_modules": replica_imports_no_unused_modules,
+    "cut_off_entry_is_relayed": cut_off_entry_is_relayed,
     "restart_then_power_loss": restart_then_power_loss,
-    "luck_of_its_own": luck_of_its_own,
-    "split_votes_end": split_votes_end,
-    "many_routes_over_small_links": many_routes_over_small_links,
-    "huge_table_over_small_links": huge_table_over_small_links,
-    "lost_fetch_is_repeated": lost_fetch_is_repeated,
-    "huge_tables_in_a_row": huge_tables_in_a_row,
-    "moved_leader_wakes": moved_leader_wakes,
-    "two_restart_at_once": two_restart_at_once,
-    "all_restart_at_once": all_restart_at_once,
+    "random_numbers_differ": random_numbers_differ,
+    "backoff_after_split_votes": backoff_after_split_votes,
+    "many_routes_over_slow_links": many_routes_over_slow_links,
+    "huge_table_over_slow_links": huge_table_over_slow_links,
+    "stalled_fetch_is_repeated": stalled_fetch_is_repeated,
+    "frequent_changes_of_huge_table": frequent_changes_of_huge_table,
+    "leader_change_wakes_callers": leader_change_wakes_callers,
+    "two_replicas_restart": two_replicas_restart,
+    "all_replicas_restart": all_replicas_restart,
     "lease_outlives_restarts": lease_outlives_restarts,
-    "won_leads_last": won_leads_last,
-    "slow_votes_end_stands": slow_votes_end_stands,
-    "late_hand_over": late_hand_over,
-    "forms_by_itself": forms_by_itself,
-    "forms_with_slow_starters": forms_with_slow_starters,
-    "forms_by_order_while_loading": forms_by_order_while_loading,
-    "called_while_loading": called_while_loading,
-    "caller_gone_in_append": caller_gone_in_append,
-    "log_out_of_step": log_out_of_step,
-    "votes_while_loading": votes_while_loading,
-    "never_forms_twice": never_forms_twice,
-    "successor_takes_a_place": successor_takes_a_place,
-    "reads_are_the_newest": reads_are_the_newest,
+    "new_leader_is_not_deposed": new_leader_is_not_deposed,
+    "vote_for_another_ends_election": vote_for_another_ends_election,
+    "late_leadership_transfer": late_leadership_transfer,
+    "seeds_form_one_log": seeds_form_one_log,
+    "forms_with_slow_disks": forms_with_slow_disks,
+    "form_call_waits_for_disks": form_call_waits_for_disks,
+    "no_appends_while_loading": no_appends_while_loading,
+    "append_survives_cancelled_call": append_survives_cancelled_call,
+    "unordered_log_is_not_loaded": unordered_log_is_not_loaded,
+    "no_votes_while_loading": no_votes_while_loading,
+    "no_second_log_is_formed": no_second_log_is_formed,
+    "new_replica_replaces_voter": new_replica_replaces_voter,
+    "isolated_leader_confirms_no_read": isolated_leader_confirms_no_read,
     "disks_lost_in_a_power_cut": disks_lost_in_a_power_cut,
-    "voters_away": voters_away,
-    "voters_grow_in_steps": voters_grow_in_steps,
-    "spare_takes_a_place": spare_takes_a_place,
-    "disks_lost_during_repair": disks_lost_during_repair,
+    "voters_without_power": voters_without_power,
+    "voters_are_added_one_by_one": voters_are_added_one_by_one,
+    "learner_replaces_voter": learner_replaces_voter,
+    "disks_lost_during_recovery": disks_lost_during_recovery,
     "disk_lost_twice": disk_lost_twice,
     "lost_datacentre": lost_datacentre,
 }
@@ -1540,44 +1543,44 @@
     return await work(*args)
 
 
-_IS_SILENT = quorum.Node._is_unresponsive
+_IS_UNRESPONSIVE = quorum.Node._is_unresponsive
 _WITHOUT_LOAD_CHECK = (quorum.Node, "_check_loaded", lambda _: None)
 # Each mutant switches off a guard: its name, the scenario that must notice,
 # and the arguments of mock.patch.object.
 MUTANTS = (
     (
         "answer with any table",
-        "huge_table_over_small_links",
+        "huge_table_over_slow_links",
         (control_coordinator, "MAX_EFFECT_BYTES", 1_000_000_000),
     ),
     (
         "lose the leases that wait for a fetch",
-        "huge_tables_in_a_row",
+        "frequent_changes_of_huge_table",
         (control_session, "MAX_PENDING_RENEWALS", 0),
     ),
     (
         "wait for a silent fetch",
-        "lost_fetch_is_repeated",
+        "stalled_fetch_is_repeated",
         (control_session, "STATE_SILENCE_S", 60.0),
     ),
     (
         "send tables as text",
-        "many_routes_over_small_links",
+        "many_routes_over_slow_links",
         (catalogue.Effect, "compressed", lambda effect: effect),
     ),
     (
         "send versions that are void",
-        "many_routes_over_small_links",
+        "many_routes_over_slow_links",
         (catalogue.CatalogueMachine, "_drop_superseded", lambda *_: None),
     ),
     (
         "tell two candidates that they would win",
-        "won_leads_last",
+        "new_leader_is_not_deposed",
         (quorum.Node, "_reserve_pre_vote", lambda *_: True),
     ),
     (
         "stand on after a vote for another",
-        "slow_votes_end_stands",
+        "vote_for_another_ends_election",
         (quorum.Node, "_election_still_valid", lambda *_: True),
     ),
     (
@@ -1589,12 +1592,12 @@
             lambda node, _: node.config.majority,
         ),
     ),
-    ("name an id too early", "forms_with_slow_starters", _WITHOUT_LOAD_CHECK),
-    ("write too early", "called_while_loading", _WITHOUT_LOAD_CHECK),
-    ("vote too early", "votes_while_loading", _WITHOUT_LOAD_CHECK),
+    ("name an id too early", "forms_with_slow_disks", _WITHOUT_LOAD_CHECK),
+    ("write too early", "no_appends_while_loading", _WITHOUT_LOAD_CHECK),
+    ("vote too early", "no_votes_while_loading", _WITHOUT_LOAD_CHECK),
     (
         "end writes with their callers",
-        "caller_gone_in_append",
+        "append_survives_cancelled_call",
         (quorum.Node, "_run_to_completion", _run_until_cancelled),
     ),
     (
@@ -1604,7 +1607,7 @@
     ),
     (
         "bring in whoever caught up",
-        "voters_grow_in_steps",
+        "voters_are_added_one_by_one",
         (
             quorum.Node,
             "_with_voter",
@@ -1615,7 +1618,7 @@
     ),
     (
         "never ask again who was let go",
-        "spare_takes_a_place",
+        "learner_replaces_voter",
         (quorum.Node, "_may_have_been_removed", lambda _: False),
     ),
     (
@@ -1625,7 +1628,7 @@
             quorum.Node,
             "_is_unresponsive",
             lambda node, member: member not in node.config.learners
-            and _IS_SILENT(node, member),
+            and _IS_UNRESPONSIVE(node, member),
         ),
     ),
     (
--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -50,7 +50,7 @@
     """Kill the process and restart it after 2 s."""
     world = entry.world
     await _run_later(world, 2.0, lambda: world.restart(entry))
-    await world.kill_here(entry)
+    await world.kill_within_step(entry)
 
 
 async def freeze(entry: EntryInstance) -> None:
@@ -149,7 +149,7 @@
     await _cut(entry, LONG_PARTITION_S, True, True)
 
 
-async def crossed_messages(entry: EntryInstance) -> None:
+async def disordered_messages(entry: EntryInstance) -> None:
     """Delay, duplicate and reorder messages."""
     world = entry.world
     world.network.duplicate = 0.3
@@ -235,7 +235,7 @@
     await _run_later(world, 5.0, heal)
 
 
-async def list_cut(entry: EntryInstance) -> None:
+async def list_unreachable(entry: EntryInstance) -> None:
     """Make the instance list unreachable."""
     entry.world.list_link.cut = True
 
@@ -264,7 +264,7 @@
     await _run_later(world, 0.0, race)
 
 
-async def second_loss_in_repair(entry: EntryInstance) -> None:
+async def second_kill_in_recovery(entry: EntryInstance) -> None:
     """Kill a second replica while the first recovers from a lost disk."""
     world = entry.world
     replicas = [p for p in world.entries if p.disk is not None]
@@ -302,16 +302,16 @@
     cut_outward,
     cut_inward,
     long_partition,
-    crossed_messages,
+    disordered_messages,
     lost_replies,
     engines_restart,
     loads_fail,
     loads_hang,
     target_leaves,
     list_empty,
-    list_cut,
+    list_unreachable,
     operators_race,
-    second_loss_in_repair,
+    second_kill_in_recovery,
     planned_stop,
 )
 
@@ -337,13 +337,13 @@
     """The result of a case.
 
     Args:
-        fired: whether the step was reached, so that the fault was injected.
+        injected: whether the step was reached, so that the fault was injected.
         faults: violations found, empty if the case passed.
         seconds: real time that the case took.
     """
 
     case: Case
-    fired: bool
+    injected: bool
     faults: tuple[str, ...]
     seconds: float
 
@@ -518,11 +518,11 @@
     ):
         schedule_fault(world, case)
         await _run_load(world)
-        fired = bool(world.fired)
+        injected = bool(world.injected)
         await check_recovery(world)
         faults = world.oracle.check_at_end()
     seconds = time.perf_counter() - started
-    return CaseResult(case, fired, tuple(faults), seconds)
+    return CaseResult(case, injected, tuple(faults), seconds)
 
 
 def run_in_virtual_time(case: Case) -> CaseResult:
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -93,7 +93,7 @@
         return faults
 
 
-async def never_evicted(seed: int = 1) -> list[str]:
+async def no_eviction_while_serving(seed: int = 1) -> list[str]:
     """Many adapters compete for few slots while ownership changes."""
     engine = standins.EngineSettings(2, 4, 0.04)
     daemon = {"placement": {"min_residence_s": 0.1, "drain_after_s": 0.5}}
@@ -136,7 +136,7 @@
         return world.oracle.check_at_end()
 
 
-async def own_whole_answer(seed: int = 1) -> list[str]:
+async def mixed_and_lost_chunks(seed: int = 1) -> list[str]:
     """Chunks are duplicated, mixed between streams, or lost."""
     async with SimulatedCluster(Settings(seed=seed)) as world:
         await _send(world, 10, 0.1)
@@ -151,7 +151,7 @@
         return world.oracle.check_at_end()
 
 
-async def not_run_means_it(seed: int = 1) -> list[str]:
+async def reported_not_run(seed: int = 1) -> list[str]:
     """Replies are lost after the run started, and deadlines are short."""
     async with SimulatedCluster(Settings(seed=seed)) as world:
         await _send(world, 10, 0.1)
@@ -220,7 +220,7 @@
         return world.oracle.check_at_end()
 
 
-async def leaving_unlisted(seed: int = 1) -> list[str]:
+async def leaving_list_unreachable(seed: int = 1) -> list[str]:
     """A target is leaving while the instance list is unreachable."""
     async with SimulatedCluster(Settings(seed=seed)) as world:
         world.list_link.cut = True
@@ -282,12 +282,12 @@
                 await world.kill(entry)
             for entry in replicas:
                 await world.start(entry)
-            await world.settle(world.all_fresh, 30)
+            await world.wait_until(world.all_fresh, 30)
         await asyncio.sleep(10.0)
         return world.oracle.check_at_end()
 
 
-async def changes_reach_cut_off(seed: int = 1) -> list[str]:
+async def changes_after_partition(seed: int = 1) -> list[str]:
     """Changes reach daemons after a long network partition.
 
     The first partition isolates one entry instance; the second isolates
@@ -298,7 +298,7 @@
         await world.put("adapter", "new-1", world_lib.adapter_value("tahi"))
         await asyncio.sleep(15.0)
         world.network.heal()
-        await world.settle(world.all_fresh, 30)
+        await world.wait_until(world.all_fresh, 30)
         leader = world.leader()
         minority = {leader.address, world.entry(4).address}
         for entry in world.entries:
@@ -311,7 +311,7 @@
             await world.put("adapter", f"new-{number}", value, majority[0])
         await asyncio.sleep(15.0)
         world.network.heal()
-        await world.settle(world.all_fresh, 30)
+        await world.wait_until(world.all_fresh, 30)
         await asyncio.sleep(9.0)
         return world.oracle.check_at_end()
 
@@ -393,7 +393,7 @@
         return world.oracle.check_at_end()
 
 
-async def moving_targets(seed: int = 1) -> list[str]:
+async def targets_change_owner(seed: int = 1) -> list[str]:
     """Targets change owner repeatedly; no caller is refused."""
     async with SimulatedCluster(Settings(seed=seed)) as world:
         sending = asyncio.create_task(_send(world, 100, 0.1))
@@ -407,7 +407,7 @@
         return faults + _error_violations("moving", answers)
 
 
-async def moving_leader(seed: int = 1) -> list[str]:
+async def leadership_transfers(seed: int = 1) -> list[str]:
     """Leadership is transferred repeatedly; no caller is refused."""
     daemon = {"list_interval_s": 2.0}
     async with SimulatedCluster(Settings(seed=seed, daemon=daemon)) as world:
@@ -422,7 +422,7 @@
         return faults + _error_violations("moving", answers)
 
 
-async def leave_at_dispatch(seed: int = 1) -> list[str]:
+async def disconnect_at_dispatch(seed: int = 1) -> list[str]:
     """Callers disconnect at the moment their request is dispatched.
 
     The run's slot must be released all the same.
@@ -519,7 +519,7 @@
         return world.oracle.check_at_end()
 
 
-async def shares_noted_before(seed: int = 1) -> list[str]:
+async def old_share_notes_readable(seed: int = 1) -> list[str]:
     """An old log and snapshot that list sharers by boot id are readable."""
     entry = wire.decode(
         b'{"note_sharers": {"joined": ["a#1"], "gone": ["b#1"]}}',
@@ -536,7 +536,7 @@
     return [] if found == [{"a#1"}, {"c#1"}] else [f"sharers: {found}"]
 
 
-async def waiting_past_a_lease(seed: int = 1) -> list[str]:
+async def waiting_as_lease_ends(seed: int = 1) -> list[str]:
     """Requests waiting at a daemon that loses its lease are refused.
 
     Guards against requests that start after the lease has ended, up to
@@ -605,7 +605,7 @@
     return lapsed
 
 
-async def limits_over_all(seed: int = 1) -> list[str]:
+async def limit_across_daemons(seed: int = 1) -> list[str]:
     """A limit of three concurrent requests holds across all daemons.
 
     At least 20 of the 60 requests must be answered.
@@ -620,7 +620,7 @@
         return faults
 
 
-async def limits_over_leaders(seed: int = 1) -> list[str]:
+async def limit_across_leaders(seed: int = 1) -> list[str]:
     """A limit holds while leaders change and daemons send no heartbeats.
 
     A leader that raised shares before every daemon that may hold a share
@@ -651,7 +651,7 @@
         return faults
 
 
-async def rate_over_all(seed: int = 1) -> list[str]:
+async def rate_across_daemons(seed: int = 1) -> list[str]:
     """A rate limit of 5 requests/s holds across all daemons."""
     async with SimulatedCluster(Settings(seed=seed)) as world:
         value = {
@@ -686,31 +686,31 @@
 ] = (
     exact_adapter,
     withdrawn_version,
-    never_evicted,
+    no_eviction_while_serving,
     orphaned_runs,
-    own_whole_answer,
-    not_run_means_it,
+    mixed_and_lost_chunks,
+    reported_not_run,
     at_most_once,
     expired_keys,
     leaving_target,
-    leaving_unlisted,
+    leaving_list_unreachable,
     planned_stop,
     changes_survive_power_loss,
-    changes_reach_cut_off,
+    changes_after_partition,
     operators_race,
     frozen_owner,
     cut_off_owner,
-    moving_targets,
-    moving_leader,
-    leave_at_dispatch,
-    limits_over_all,
-    limits_over_leaders,
-    rate_over_all,
+    targets_change_owner,
+    leadership_transfers,
+    disconnect_at_dispatch,
+    limit_across_daemons,
+    limit_across_leaders,
+    rate_across_daemons,
     runs_outlast_a_lease,
     runs_outlast_a_leader,
-    waiting_past_a_lease,
+    waiting_as_lease_ends,
     first_lease_lasts,
-    shares_noted_before,
+    old_share_notes_readable,
 )
 SCENARIO_BY_NAME = {scenario.__name__: scenario for scenario in SCENARIOS}
 
@@ -737,7 +737,7 @@
 
 
 @contextlib.contextmanager
-def no_stamp_check() -> collections.abc.Iterator[None]:
+def no_chunk_check() -> collections.abc.Iterator[None]:
     """Accept any chunk, whatever run, adapter or position it belongs to."""
     with (
         patch(placement.EngineOwner, "_accept", _accept_any_chunk),
@@ -754,7 +754,7 @@
 
 
 @contextlib.contextmanager
-def no_doubt() -> collections.abc.Iterator[None]:
+def foreign_runs_ignored() -> collections.abc.Iterator[None]:
     """Assume that engines run only what this owner started."""
 
     def apply_resident(self, name, report, as_of) -> None:
@@ -791,7 +791,7 @@
 
 
 @contextlib.contextmanager
-def no_floor() -> collections.abc.Iterator[None]:
+def no_claim_floor() -> collections.abc.Iterator[None]:
     """Drop expired claims without refusing their keys afterwards."""
     original = catalogue.CatalogueMachine._raise_floor
 
@@ -817,7 +817,7 @@
 
 
 @contextlib.contextmanager
-def stop_at_once() -> collections.abc.Iterator[None]:
+def stop_without_draining() -> collections.abc.Iterator[None]:
     """Stop without waiting for requests in progress."""
 
     async def stop(self) -> None:
@@ -850,7 +850,7 @@
 
 
 @contextlib.contextmanager
-def leader_for_ever() -> collections.abc.Iterator[None]:
+def leader_without_quorum() -> collections.abc.Iterator[None]:
     """Remain leader without contact to a majority."""
     with (
         patch(quorum.Node, "holds_lease", lambda self: self.is_leader),
@@ -860,7 +860,7 @@
 
 
 @contextlib.contextmanager
-def no_compare() -> collections.abc.Iterator[None]:
+def no_revision_check() -> collections.abc.Iterator[None]:
     """Ignore the revision that a write expects."""
     original = catalogue.CatalogueMachine._put_once
 
@@ -874,7 +874,7 @@
 
 
 @contextlib.contextmanager
-def operations_forgotten() -> collections.abc.Iterator[None]:
+def resends_applied_again() -> collections.abc.Iterator[None]:
     """Apply a resent change again."""
 
     def put(self, index, put):
@@ -885,7 +885,7 @@
 
 
 @contextlib.contextmanager
-def owners_at_once() -> collections.abc.Iterator[None]:
+def early_reassignment() -> collections.abc.Iterator[None]:
     """Reassign a target before its owner's lease has ended."""
     timing = control.LeaseTiming
     ended = property(lambda self: self.heartbeat_s * 1.5)
@@ -894,7 +894,7 @@
 
 
 @contextlib.contextmanager
-def no_gate() -> collections.abc.Iterator[None]:
+def no_lease_gate() -> collections.abc.Iterator[None]:
     """Send orders to engines without checking the lease."""
     with patch(placement.EngineOwner, "_owns", lambda self: True):
         yield
@@ -912,7 +912,7 @@
 
 
 @contextlib.contextmanager
-def first_try_counts() -> collections.abc.Iterator[None]:
+def lease_from_first_try() -> collections.abc.Iterator[None]:
     """Start a lease at the first attempt of its heartbeat, not the last."""
     original = control.Session._sending
     noted: dict[str, int] = {}
@@ -927,7 +927,7 @@
 
 
 @contextlib.contextmanager
-def shares_free_at_once() -> collections.abc.Iterator[None]:
+def early_share_release() -> collections.abc.Iterator[None]:
     """Reassign a silent daemon's share while its runs may continue."""
 
     def lapse(self, boot, held_by_key) -> None:
@@ -938,21 +938,21 @@
 
 
 @contextlib.contextmanager
-def waiting_unchecked() -> collections.abc.Iterator[None]:
+def waiting_not_refused() -> collections.abc.Iterator[None]:
     """Keep requests waiting past the end of a lease."""
     with patch(routing.Admission, "_refuse_waiting", lambda *_: None):
         yield
 
 
 @contextlib.contextmanager
-def shares_at_once() -> collections.abc.Iterator[None]:
+def early_share_increase() -> collections.abc.Iterator[None]:
     """Raise shares before the leader knows all daemons that hold some.
 
     Disables two guards, either of which alone suffices for a short time:
     shares are not raised before that, and shares of silent daemons in the
     log stay reserved.
     """
-    with shares_free_at_once():
+    with early_share_release():
         with patch(control.Coordinator, "_may_raise", lambda *_: True):
             yield
 
@@ -977,30 +977,30 @@
 
 
 MUTANTS: tuple[Mutant, ...] = (
-    Mutant(1, "exact_adapter", no_stamp_check),
-    Mutant(2, "never_evicted", no_pins),
-    Mutant(2, "orphaned_runs", no_doubt),
-    Mutant(2, "cut_off_owner", owners_at_once),
-    Mutant(2, "frozen_owner", no_gate),
-    Mutant(3, "own_whole_answer", no_stamp_check),
-    Mutant(4, "not_run_means_it", lost_means_not_run),
+    Mutant(1, "exact_adapter", no_chunk_check),
+    Mutant(2, "no_eviction_while_serving", no_pins),
+    Mutant(2, "orphaned_runs", foreign_runs_ignored),
+    Mutant(2, "cut_off_owner", early_reassignment),
+    Mutant(2, "frozen_owner", no_lease_gate),
+    Mutant(3, "mixed_and_lost_chunks", no_chunk_check),
+    Mutant(4, "reported_not_run", lost_means_not_run),
     Mutant(5, "at_most_once", no_claims),
     Mutant(5, "at_most_once", lost_means_not_run),
-    Mutant(5, "expired_keys", no_floor),
+    Mutant(5, "expired_keys", no_claim_floor),
     Mutant(6, "leaving_target", leaving_ignored),
-    Mutant(6, "leaving_unlisted", leaving_ignored),
-    Mutant(7, "planned_stop", stop_at_once),
+    Mutant(6, "leaving_list_unreachable", leaving_ignored),
+    Mutant(7, "planned_stop", stop_without_draining),
     Mutant(8, "changes_survive_power_loss", no_syncs),
-    Mutant(8, "changes_reach_cut_off", endless_leases),
-    Mutant(8, "changes_reach_cut_off", leader_for_ever),
-    Mutant(8, "operators_race", no_compare),
-    Mutant(8, "operators_race", operations_forgotten),
-    Mutant(8, "limits_over_all", shares_unbounded),
-    Mutant(8, "first_lease_lasts", first_try_counts),
-    Mutant(8, "limits_over_leaders", shares_at_once),
-    Mutant(8, "runs_outlast_a_leader", shares_free_at_once),
-    Mutant(8, "runs_outlast_a_lease", shares_free_at_once),
-    Mutant(8, "waiting_past_a_lease", waiting_unchecked),
+    Mutant(8, "changes_after_partition", endless_leases),
+    Mutant(8, "changes_after_partition", leader_without_quorum),
+    Mutant(8, "operators_race", no_revision_check),
+    Mutant(8, "operators_race", resends_applied_again),
+    Mutant(8, "limit_across_daemons", shares_unbounded),
+    Mutant(8, "first_lease_lasts", lease_from_first_try),
+    Mutant(8, "limit_across_leaders", early_share_increase),
+    Mutant(8, "runs_outlast_a_leader", early_share_release),
+    Mutant(8, "runs_outlast_a_lease", early_share_release),
+    Mutant(8, "waiting_as_lease_ends", waiting_not_refused),
 )
 
 
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -75,7 +75,7 @@
         world.reached[(step, phase)] += 1
         action = world.action_by_step.pop((step, phase), None)
         if action is not None:
-            world.fired.append((step, phase, self._entry.name))
+            world.injected.append((step, phase, self._entry.name))
             await action(self._entry)
 
 
@@ -126,7 +126,7 @@
         self.network = standins.MemoryNetwork(self.rng)
         self.oracle = oracle.Oracle(self)
         self.action_by_step: dict[tuple[wire.Step, wire.Phase], Action] = {}
-        self.fired: list[tuple[wire.Step, wire.Phase, str]] = []
+        self.injected: list[tuple[wire.Step, wire.Phase, str]] = []
         self.reached: collections.Counter = collections.Counter()
         self.links: dict[tuple[str, str], list[standins.Link]] = (
             collections.defaultdict(list)
@@ -158,10 +158,10 @@
         for entry in self.entries:
             await self.start(entry)
         await self.entry(0).daemon.node.form()
-        await self.settle(self.all_fresh, 20)
+        await self.wait_until(self.all_fresh, 20)
         await self._create_entries()
         newest = max(change.revision for change in self.oracle.changes)
-        await self.settle(lambda: self.all_applied(newest), 10)
+        await self.wait_until(lambda: self.all_applied(newest), 10)
         # A new leader grants no shares before earlier leases have expired.
         await asyncio.sleep(4.0)
         self.oracle.start()
@@ -236,7 +236,7 @@
             task.cancel()
         await entry.daemon.__aexit__(None, None, None)
 
-    async def kill_here(self, entry: EntryInstance) -> None:
+    async def kill_within_step(self, entry: EntryInstance) -> None:
         """Kill a process from within one of its own steps; never returns."""
         ending = asyncio.create_task(self.kill(entry))
         self.oracle.background.add(ending)
@@ -296,7 +296,7 @@
                 self.wake(entry)
             if not entry.up or failed:
                 await self.restart(entry)
-        await self.settle(self.all_fresh, 60)
+        await self.wait_until(self.all_fresh, 60)
 
     def all_fresh(self) -> bool:
         """Whether every daemon is running and holds a lease."""
@@ -311,7 +311,7 @@
             for entry in self.entries
         )
 
-    async def settle(
+    async def wait_until(
         self, check: collections.abc.Callable[[], bool], timeout_s: float
     ) -> None:
         """Wait in virtual time until a condition holds.
@@ -325,7 +325,7 @@
             if loop.time() > deadline:
                 raise AssertionError(
                     f"{getattr(check, '__name__', 'condition')} does not hold "
-                    f"after {timeout_s} s; injected faults: {self.fired}"
+                    f"after {timeout_s} s; injected faults: {self.injected}"
                 )
             await asyncio.sleep(0.05)
 
