--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -5,26 +5,26 @@
     Then callers get what it states
 
     Examples:
-      | load                                                  |
-      | an engine reads faster than the first belief          |
-      | an engine turns slow                                  |
-      | a slow engine is believed like its peers again        |
-      | answers come in any order and at any time             |
-      | an engine falls silent                                |
-      | an urgent prompt comes behind long ones               |
-      | a short prompt is read between                        |
-      | one adapter is asked for by all                       |
-      | an adapter is wanted by others while one is busy      |
-      | a copy is on its way                                  |
-      | six hundred engines                                   |
-      | an instance starts before its routes are known        |
-      | an instance never hears of routes                     |
-      | nobody leads                                          |
-      | nobody leads for long                                 |
-      | nobody leads while engines hold what is asked for     |
-      | late requests ask beside others                       |
-      | a daemon is behind                                    |
-      | hundreds wait                                         |
+      | load                                                |
+      | an engine is faster than the initial estimate       |
+      | an engine slows down                                |
+      | the estimate of a slow engine returns to its peers' |
+      | answers arrive in any order and at any time         |
+      | an engine stops answering                           |
+      | an urgent prompt arrives after long ones            |
+      | a short prompt is read before delayed ones          |
+      | all requests are for one adapter                    |
+      | a copy would evict an adapter that others wait for  |
+      | a copy is being loaded                              |
+      | six hundred engines                                 |
+      | an instance starts before its routes are known      |
+      | an instance never receives routes                   |
+      | there is no leader                                  |
+      | there is no leader for long                         |
+      | there is no leader while engines hold the adapter   |
+      | late requests compete with others for calls         |
+      | the event loop of a daemon lags                     |
+      | hundreds of requests wait                           |
 
   Scenario: Every switch of the decisions changes what callers get
     Then each switched-off mechanism breaks its load
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -6,10 +6,10 @@
     Then no promise is broken
 
     Examples:
-      | scenario           |
-      | told_in_time_small |
-      | told_in_time_large |
-      | held_until_one_leads |
+      | scenario                     |
+      | reports_in_time_small_fleet  |
+      | reports_in_time_large_fleet  |
+      | heartbeat_held_until_elected |
 
   Scenario: Every guard of a large fleet that is switched off is noticed
     When each guard of a fleet is switched off
--- a/features/holders.feature
+++ b/features/holders.feature
@@ -14,13 +14,13 @@
     Then no engine saw holders take turns
 
     Examples:
-      | scenario          |
-      | handed_on_at_once |
-      | regained_at_once  |
-      | all_restarted_at_once |
-      | noted_before_it_orders |
-      | quiet_after_each_term |
-      | resident_meanwhile |
+      | scenario                        |
+      | new_holder_orders_at_once       |
+      | reelected_holder_orders_at_once |
+      | no_wait_after_full_restart      |
+      | tenure_recorded_before_orders   |
+      | unfenced_holder_waits_again     |
+      | resident_adapters_while_waiting |
 
   Scenario: A tenure keeps to the lease over any elections and restarts
     When 400 random histories of elections are tried
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -7,21 +7,21 @@
     Then no promise is broken
 
     Examples:
-      | scenario                |
-      | dropped_load            |
-      | no_order_without_lead   |
-      | lead_in_doubt           |
-      | quiet_new_holder        |
-      | taken_over              |
-      | taken_over_idle         |
-      | returned_goes_behind    |
-      | long_prompt_goes_sooner |
-      | full_home               |
-      | deposed_in_a_load       |
-      | storm_of_waiters        |
-      | asked_again             |
-      | models_in_turn          |
-      | named_version           |
+      | scenario                       |
+      | dropped_load                   |
+      | no_orders_after_lost_lead      |
+      | leadership_briefly_unconfirmed |
+      | new_leader_waits_to_order      |
+      | no_eviction_before_reports     |
+      | eviction_on_idle_engine        |
+      | late_retry_served_later        |
+      | long_prompt_served_first       |
+      | home_engine_stays_full         |
+      | leadership_lost_during_load    |
+      | many_waiting_requests          |
+      | repeated_request_counts_once   |
+      | store_loads_one_model_at_once  |
+      | new_default_version            |
 
   Scenario: Random loads with late and lost orders keep the ledger true
     When 24 random loads are tried
--- a/features/sight.feature
+++ b/features/sight.feature
@@ -5,10 +5,10 @@
     Then its events and metrics are complete
 
     Examples:
-      | scenario      |
-      | lost_lead     |
-      | refused_stand |
-      | late_loop     |
-      | shed_calls    |
-      | steps_not_waits |
-      | work_told     |
+      | scenario           |
+      | lost_leadership    |
+      | refused_election   |
+      | event_loop_lag     |
+      | shed_calls         |
+      | work_without_waits |
+      | work_logged        |
--- a/features/starts.feature
+++ b/features/starts.feature
@@ -8,12 +8,12 @@
     Then no promise is broken
 
     Examples:
-      | scenario           |
-      | told_by_the_engine |
-      | told_by_the_list   |
-      | told_by_neither    |
-      | told_the_same      |
-      | told_late          |
+      | scenario                   |
+      | restart_reported_by_engine |
+      | restart_shown_by_list      |
+      | restart_without_start_time |
+      | same_start_listed_again    |
+      | start_time_listed_late     |
 
   Scenario: Random loads with engines that start again keep the ledger true
     When 16 random loads with starts are tried
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -361,9 +361,9 @@
 
 
 SCENARIOS = {
-    "told_in_time_small": told_in_time_small,
-    "told_in_time_large": told_in_time_large,
-    "held_until_one_leads": held_until_one_leads,
+    "reports_in_time_small_fleet": told_in_time_small,
+    "reports_in_time_large_fleet": told_in_time_large,
+    "heartbeat_held_until_elected": held_until_one_leads,
 }
 
 # Each mutant switches off a guard: its name, the scenario that must notice,
@@ -371,7 +371,7 @@
 MUTANTS = (
     (
         "send callers to a leader that is silent",
-        "told_in_time_small",
+        "reports_in_time_small_fleet",
         (
             quorum.Node,
             "has_leader_contact",
@@ -380,7 +380,7 @@
     ),
     (
         "refuse at once while nobody leads",
-        "held_until_one_leads",
+        "heartbeat_held_until_elected",
         (_coordinator, "HOLD_S", 0.0),
     ),
 )
--- a/features/support/holders.py
+++ b/features/support/holders.py
@@ -534,12 +534,12 @@
 SCENARIOS = {
     "away_and_back": away_and_back,
     "back_after_a_restart": back_after_a_restart,
-    "handed_on_at_once": handed_on_at_once,
-    "regained_at_once": regained_at_once,
-    "all_restarted_at_once": all_restarted_at_once,
-    "noted_before_it_orders": noted_before_it_orders,
-    "quiet_after_each_term": quiet_after_each_term,
-    "resident_meanwhile": resident_meanwhile,
+    "new_holder_orders_at_once": handed_on_at_once,
+    "reelected_holder_orders_at_once": regained_at_once,
+    "no_wait_after_full_restart": all_restarted_at_once,
+    "tenure_recorded_before_orders": noted_before_it_orders,
+    "unfenced_holder_waits_again": quiet_after_each_term,
+    "resident_adapters_while_waiting": resident_meanwhile,
 }
 
 
@@ -585,7 +585,7 @@
 MUTANTS = (
     (
         "order before it is noted",
-        "noted_before_it_orders",
+        "tenure_recorded_before_orders",
         (placement.Tenure, "may_order", _due_unnoted),
     ),
     (
@@ -595,7 +595,7 @@
     ),
     (
         "remember for ever who ordered before",
-        "all_restarted_at_once",
+        "no_wait_after_full_restart",
         (placement.Tenure, "alone_due", lambda *_: False),
     ),
     (
--- a/features/support/ledger.py
+++ b/features/support/ledger.py
@@ -748,37 +748,37 @@
     ),
     (
         "order after the lead is lost",
-        "no_order_without_lead",
+        "no_orders_after_lost_lead",
         (placement.EngineOrders, "_gate_open", lambda _: True),
     ),
     (
         "wait at home for ever",
-        "full_home",
+        "home_engine_stays_full",
         (_place_policy, "WAITING_WEIGHT", 0.0),
     ),
     (
         "evict before entries have told",
-        "taken_over",
+        "no_eviction_before_reports",
         (_placer, "USES_REPORTED_S", 0.0),
     ),
     (
         "decide at once, always",
-        "storm_of_waiters",
+        "many_waiting_requests",
         (_placer, "SCHEDULE_SPACING", 0.0),
     ),
     (
         "begin on an old version",
-        "named_version",
+        "new_default_version",
         (_placer, "OLD_VERSION_S", 1e9),
     ),
     (
         "never tend to what was left open",
-        "lead_in_doubt",
+        "leadership_briefly_unconfirmed",
         (placement.EngineOrders, "reconcile", lambda _: None),
     ),
     (
         "leave the first place counted",
-        "asked_again",
+        "repeated_request_counts_once",
         (
             _placer.Placer,
             "_move_request",
@@ -789,7 +789,7 @@
     ),
     (
         "load all models at once",
-        "models_in_turn",
+        "store_loads_one_model_at_once",
         (
             placement.StoreLoadLock,
             "turn",
@@ -806,19 +806,19 @@
 
 SCENARIOS = {
     "dropped_load": dropped_load,
-    "no_order_without_lead": no_order_without_lead,
-    "deposed_in_a_load": deposed_in_a_load,
-    "lead_in_doubt": lead_in_doubt,
-    "quiet_new_holder": quiet_new_holder,
-    "taken_over": taken_over,
-    "taken_over_idle": taken_over_idle,
-    "returned_goes_behind": returned_goes_behind,
-    "long_prompt_goes_sooner": long_prompt_goes_sooner,
-    "full_home": full_home,
-    "asked_again": asked_again,
-    "models_in_turn": models_in_turn,
-    "storm_of_waiters": storm_of_waiters,
-    "named_version": named_version,
+    "no_orders_after_lost_lead": no_order_without_lead,
+    "leadership_lost_during_load": deposed_in_a_load,
+    "leadership_briefly_unconfirmed": lead_in_doubt,
+    "new_leader_waits_to_order": quiet_new_holder,
+    "no_eviction_before_reports": taken_over,
+    "eviction_on_idle_engine": taken_over_idle,
+    "late_retry_served_later": returned_goes_behind,
+    "long_prompt_served_first": long_prompt_goes_sooner,
+    "home_engine_stays_full": full_home,
+    "repeated_request_counts_once": asked_again,
+    "store_loads_one_model_at_once": models_in_turn,
+    "many_waiting_requests": storm_of_waiters,
+    "new_default_version": named_version,
 }
 
 
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -288,10 +288,10 @@
 
 
 SCENARIOS = {
-    "steps_not_waits": _steps_not_waits,
-    "work_told": _work_logged,
-    "lost_lead": lambda: ledger.run(_lost_leadership()),
-    "refused_stand": lambda: ledger.run(_refused_election()),
-    "late_loop": _late_loop,
+    "work_without_waits": _steps_not_waits,
+    "work_logged": _work_logged,
+    "lost_leadership": lambda: ledger.run(_lost_leadership()),
+    "refused_election": lambda: ledger.run(_refused_election()),
+    "event_loop_lag": _late_loop,
     "shed_calls": _shed_calls,
 }
--- a/features/support/starts.py
+++ b/features/support/starts.py
@@ -199,11 +199,11 @@
 
 
 SCENARIOS = {
-    "told_by_the_engine": told_by_the_engine,
-    "told_by_the_list": told_by_the_list,
-    "told_by_neither": told_by_neither,
-    "told_the_same": told_the_same,
-    "told_late": told_late,
+    "restart_reported_by_engine": told_by_the_engine,
+    "restart_shown_by_list": told_by_the_list,
+    "restart_without_start_time": told_by_neither,
+    "same_start_listed_again": told_the_same,
+    "start_time_listed_late": told_late,
 }
 
 
@@ -363,22 +363,22 @@
     ),
     (
         "believe a report of whichever start",
-        "told_by_the_engine",
+        "restart_reported_by_engine",
         (placement.EngineOrders, "_report", _report_unchecked),
     ),
     (
         "know an engine by its name alone",
-        "told_by_the_list",
+        "restart_shown_by_list",
         (targets.Incarnation, "__str__", lambda start: start.name),
     ),
     (
         "see no start in fewer orders",
-        "told_by_neither",
+        "restart_without_start_time",
         (placement.EngineRecord, "shows_new_start", lambda *_: False),
     ),
     (
         "believe the list, however old",
-        "told_by_the_engine",
+        "restart_reported_by_engine",
         (
             control.Fleet,
             "_apply_entry",
