--- a/features/heard.feature
+++ b/features/heard.feature
@@ -7,20 +7,20 @@
     Then no promise is broken
 
     Examples:
-      | scenario                            |
-      | leaving_ahead_of_the_list           |
-      | leaving_while_cut_off               |
-      | leaving_over_a_leader               |
-      | next_start_takes_work               |
-      | paused                              |
-      | paused_by_forty                     |
-      | all_paused                          |
-      | all_paused_for_long                 |
-      | paused_in_an_election               |
-      | leaving_while_a_place_is_waited_for |
-      | short_pause_is_waited_out           |
-      | long_pause_is_avoided               |
-      | some_random_words                   |
+      | scenario                         |
+      | leaving_reported_before_list     |
+      | leaving_while_cut_off            |
+      | leaving_across_leader_change     |
+      | next_incarnation_gets_requests   |
+      | paused                           |
+      | forty_daemons_paused             |
+      | all_targets_paused               |
+      | all_targets_paused_past_deadline |
+      | paused_without_leader            |
+      | leaving_before_place_is_granted  |
+      | short_pause_is_waited_out        |
+      | long_pause_is_avoided            |
+      | random_events_with_six_seeds     |
 
   Scenario: Every disabled guard of what targets report is noticed
     When each guard of what targets report is disabled
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -6,28 +6,28 @@
     Then no promise is broken
 
     Examples:
-      | scenario                 |
-      | any_order                |
-      | one_event_counts_once    |
-      | strange_words            |
-      | members_apart            |
-      | comes_again              |
-      | at_all_at_once           |
-      | leader_lost_before_third |
-      | leader_lost_after_third  |
-      | all_without_power        |
-      | under_its_name           |
-      | two_members              |
-      | within_one_attempt       |
-      | beside_it                |
-      | popular_in_a_rack        |
-      | runs_again_later         |
-      | operator_releases        |
-      | released_for_good        |
-      | served_before            |
-      | random_loads             |
-      | fatal_prompt             |
-      | fatal_call               |
+      | scenario                          |
+      | order_and_duplicates_ignored      |
+      | one_event_counts_once             |
+      | invalid_crash_ages                |
+      | members_are_isolated              |
+      | refused_after_three_crashes       |
+      | copies_at_all_entries             |
+      | leader_lost_before_third          |
+      | leader_lost_after_third           |
+      | quarantine_survives_power_loss    |
+      | incarnations_count_separately     |
+      | two_members                       |
+      | one_request_with_many_attempts    |
+      | concurrent_requests_are_served    |
+      | common_request_in_rack_failures   |
+      | retried_after_hold_time           |
+      | operator_releases                 |
+      | crashes_before_release_ignored    |
+      | success_before_quarantine_ignored |
+      | random_loads                      |
+      | fatal_prompt                      |
+      | fatal_call                        |
 
   Scenario: Every disabled guard against such requests is noticed
     When each guard against requests that crash targets is disabled
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -198,7 +198,7 @@
         return faults[:3]
 
 
-async def leaving_ahead_of_the_list() -> list[str]:
+async def leaving_reported_before_list() -> list[str]:
     """All entries stop sending once one learns of it, ahead of the list."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
@@ -217,7 +217,7 @@
         return world.sends_after_leaving() + _unserved(ended, 0)
 
 
-async def leaving_over_a_leader() -> list[str]:
+async def leaving_across_leader_change() -> list[str]:
     """Entries report a leaving target again to a new leader."""
     async with World() as world:
         world.leaving.add(world.targets[0].id)
@@ -237,7 +237,7 @@
         return faults + world.sends_after_leaving() + _unserved(ended, 0)
 
 
-async def next_start_takes_work() -> list[str]:
+async def next_incarnation_gets_requests() -> list[str]:
     """The leaving state of one incarnation does not apply to the next."""
     async with World(count=2) as world:
         target = world.targets[0]
@@ -272,7 +272,7 @@
         return faults + world.sends_in_pauses() + _unserved(ended, 0)
 
 
-async def paused_by_forty() -> list[str]:
+async def forty_daemons_paused() -> list[str]:
     """A target that pauses forty daemons gets few requests from each."""
     async with World(entries=40, count=4) as world:
         world.pause_by_target[world.targets[0].id] = 2.0
@@ -280,7 +280,7 @@
         return world.sends_in_pauses() + _unserved(ended, 0)
 
 
-async def all_paused() -> list[str]:
+async def all_targets_paused() -> list[str]:
     """Requests whose deadline is after the end of the pause are served."""
     async with World() as world:
         for target in world.targets:
@@ -291,7 +291,7 @@
         return world.sends_in_pauses() + _unserved(ended, 0)
 
 
-async def all_paused_for_long() -> list[str]:
+async def all_targets_paused_past_deadline() -> list[str]:
     """A request whose deadline is within the pause is refused at once.
 
     The error's retry_after_s is the time that is left of the pause.
@@ -330,7 +330,7 @@
         return faults + world.sends_in_pauses()
 
 
-async def paused_in_an_election() -> list[str]:
+async def paused_without_leader() -> list[str]:
     """Pauses are obeyed while there is no leader."""
     async with World() as world:
         for address in world.addresses[:2]:
@@ -415,7 +415,7 @@
         return reached, placer, loop.time() - started_at
 
 
-async def leaving_while_a_place_is_waited_for() -> list[str]:
+async def leaving_before_place_is_granted() -> list[str]:
     """A place granted at a target that is leaving is released unused.
 
     The request then runs at another target.
@@ -476,7 +476,7 @@
         return world.sends_after_leaving() + world.sends_in_pauses()
 
 
-async def some_random_words() -> list[str]:
+async def random_events_with_six_seeds() -> list[str]:
     """Run random_target_events with six seeds."""
     faults: list[str] = []
     for seed in range(6):
@@ -492,19 +492,19 @@
 SCENARIOS: dict[str, collections.abc.Callable[[], typing.Any]] = {
     scenario.__name__: scenario
     for scenario in (
-        leaving_ahead_of_the_list,
+        leaving_reported_before_list,
         leaving_while_cut_off,
-        leaving_over_a_leader,
-        next_start_takes_work,
+        leaving_across_leader_change,
+        next_incarnation_gets_requests,
         paused,
-        paused_by_forty,
-        all_paused,
-        all_paused_for_long,
-        paused_in_an_election,
-        leaving_while_a_place_is_waited_for,
+        forty_daemons_paused,
+        all_targets_paused,
+        all_targets_paused_past_deadline,
+        paused_without_leader,
+        leaving_before_place_is_granted,
         short_pause_is_waited_out,
         long_pause_is_avoided,
-        some_random_words,
+        random_events_with_six_seeds,
     )
 }
 
@@ -531,14 +531,14 @@
     ),
     (
         "told",
-        "leaving_ahead_of_the_list",
+        "leaving_reported_before_list",
         TargetNotices,
         "unreported",
         lambda *_: (),
     ),
     (
         "told again",
-        "leaving_over_a_leader",
+        "leaving_across_leader_change",
         TargetNotices,
         "unreported",
         lambda *_: (),
@@ -546,14 +546,14 @@
     ("pause", "paused", TargetNotices, "pause_left_s", lambda *_: 0.0),
     (
         "at the moment of sending",
-        "leaving_while_a_place_is_waited_for",
+        "leaving_before_place_is_granted",
         routing.Forwarder,
         "_check_accepting",
         lambda *_: None,
     ),
     (
         "waiting",
-        "all_paused",
+        "all_targets_paused",
         routing.Forwarder,
         "_remaining_pauses_s",
         lambda *_: [math.inf],
--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -61,7 +61,7 @@
 )
 
 
-async def any_order() -> list[str]:
+async def order_and_duplicates_ignored() -> list[str]:
     """The count does not depend on order or duplicates of observations."""
 
     @hypothesis.settings(
@@ -96,14 +96,14 @@
     return [] if found == [1, 3, 0, 1] else [f"counted {found}"]
 
 
-async def strange_words() -> list[str]:
+async def invalid_crash_ages() -> list[str]:
     """Crashes of one target with huge, negative or NaN ages count once."""
     ages = [-1e9, -1.0, 0.0, 1e12, math.inf, -math.inf, math.nan]
     counts = [_count([_observed("t1", age) for _ in range(5)]) for age in ages]
     return [f"counted {counts}"] if max(counts) > 1 else []
 
 
-async def members_apart() -> list[str]:
+async def members_are_isolated() -> list[str]:
     """One member's thousands of requests evict no other member's suspects.
 
     Nor do a member's single losses evict its own request that was lost twice.
@@ -140,7 +140,7 @@
 # Outcomes for callers.
 
 
-async def comes_again() -> list[str]:
+async def refused_after_three_crashes() -> list[str]:
     """A fatal request is refused at every entry after three crashes."""
     async with World() as world:
         world.fatal = {b"bad"}
@@ -156,7 +156,7 @@
         return faults
 
 
-async def at_all_at_once() -> list[str]:
+async def copies_at_all_entries() -> list[str]:
     """Copies are sent to all entries at once, five times."""
     async with World() as world:
         world.fatal = {b"bad"}
@@ -194,7 +194,7 @@
         return world.faults(b"bad")
 
 
-async def all_without_power() -> list[str]:
+async def quarantine_survives_power_loss() -> list[str]:
     """A quarantine survives a restart of all replicas and entries."""
     async with World() as world:
         world.fatal = {b"bad"}
@@ -208,7 +208,7 @@
         return faults
 
 
-async def under_its_name() -> list[str]:
+async def incarnations_count_separately() -> list[str]:
     """Incarnations that keep the target's name count as other targets."""
     async with World(count=2) as world:
         for target in world.targets:
@@ -230,7 +230,7 @@
         return world.faults(b"bad") + world.faults(b"worse")
 
 
-async def within_one_attempt() -> list[str]:
+async def one_request_with_many_attempts() -> list[str]:
     """One request with many attempts crashes three targets at most."""
     async with World(attempts=20) as world:
         world.fatal = {b"bad"}
@@ -239,7 +239,7 @@
         return [f"{ended} crashes"] if ended > MAX_ENDS else []
 
 
-async def beside_it() -> list[str]:
+async def concurrent_requests_are_served() -> list[str]:
     """Requests that run beside a fatal one are served after retries.
 
     Each caller sends up to four times. Requests that run on a target when the
@@ -266,7 +266,7 @@
         return faults
 
 
-async def popular_in_a_rack() -> list[str]:
+async def common_request_in_rack_failures() -> list[str]:
     """A request sent by many is not quarantined as racks and links fail.
 
     Three targets at a time crash or lose their connections, while the same
@@ -291,7 +291,7 @@
         return [f"{dict(got)}"] if got["quarantined"] else []
 
 
-async def runs_again_later() -> list[str]:
+async def retried_after_hold_time() -> list[str]:
     """A quarantined request may run again after a hold time.
 
     One more crash doubles the hold time; a success ends the quarantine.
@@ -341,7 +341,7 @@
         return [] if got == "served" else [f"outcome {got}"]
 
 
-async def released_for_good() -> list[str]:
+async def crashes_before_release_ignored() -> list[str]:
     """Earlier crashes do not quarantine again what an operator released.
 
     Daemons report the crashes of the last minutes again to a new leader.
@@ -363,7 +363,7 @@
         return [] if got == ["served"] * 2 else [f"outcomes {got}"]
 
 
-async def served_before() -> list[str]:
+async def success_before_quarantine_ignored() -> list[str]:
     """A success from before the quarantine does not end it.
 
     A daemon that does not know of the quarantine yet reports the earlier
@@ -450,24 +450,24 @@
 SCENARIOS = {
     work.__name__: work
     for work in (
-        any_order,
+        order_and_duplicates_ignored,
         one_event_counts_once,
-        strange_words,
-        members_apart,
-        comes_again,
-        at_all_at_once,
+        invalid_crash_ages,
+        members_are_isolated,
+        refused_after_three_crashes,
+        copies_at_all_entries,
         leader_lost_before_third,
         leader_lost_after_third,
-        all_without_power,
-        under_its_name,
+        quarantine_survives_power_loss,
+        incarnations_count_separately,
         two_members,
-        within_one_attempt,
-        beside_it,
-        popular_in_a_rack,
-        runs_again_later,
+        one_request_with_many_attempts,
+        concurrent_requests_are_served,
+        common_request_in_rack_failures,
+        retried_after_hold_time,
         operator_releases,
-        released_for_good,
-        served_before,
+        crashes_before_release_ignored,
+        success_before_quarantine_ignored,
         random_loads,
         fatal.fatal_prompt,
         fatal.fatal_call,
@@ -506,12 +506,12 @@
 MUTANTS = (
     (
         "never refuse",
-        "comes_again",
+        "refused_after_three_crashes",
         (_fatal.QuarantineGuard, "check", lambda *_: None),
     ),
     (
         "keep nothing in the log",
-        "all_without_power",
+        "quarantine_survives_power_loss",
         (catalogue.View, "quarantine_by_id", property(lambda view: {})),
     ),
     (
@@ -531,37 +531,37 @@
     ),
     (
         "never clear",
-        "popular_in_a_rack",
+        "common_request_in_rack_failures",
         (_fatal.QuarantineGuard, "served", lambda *_: None),
     ),
     (
         "run copies side by side",
-        "at_all_at_once",
+        "copies_at_all_entries",
         (_quarantine.Quarantine, "acquire_exclusive", _allow),
     ),
     (
         "let what was lost once push out what was lost again",
-        "members_apart",
+        "members_are_isolated",
         (_ends._MemberSuspects, "put", _put_fifo),
     ),
     (
         "send one attempt on and on",
-        "within_one_attempt",
+        "one_request_with_many_attempts",
         (quarantine, "MAX_ENDS", 100),
     ),
     (
         "tell again what was judged",
-        "released_for_good",
+        "crashes_before_release_ignored",
         (quarantine.Observations, "forget", lambda *_: None),
     ),
     (
         "free what was served before it was held",
-        "served_before",
+        "success_before_quarantine_ignored",
         (_quarantine.Quarantine, "_known_since", lambda *_: -math.inf),
     ),
     (
         "hold for good",
-        "runs_again_later",
+        "retried_after_hold_time",
         (_quarantine.Quarantine, "tend", _do_nothing),
     ),
 )
