--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -1,8 +1,8 @@
-Feature: Decisions on places, without a network
+Feature: Placement decisions, without a network
 
   Scenario Outline: <load>
-    When the load "<load>" is played against the decisions
-    Then callers get what it states
+    When the load "<load>" runs against the placement decisions
+    Then callers get the specified outcome
 
     Examples:
       | load                                                |
@@ -26,5 +26,5 @@
       | the event loop of a daemon lags                     |
       | hundreds of requests wait                           |
 
-  Scenario: Every switch of the decisions changes what callers get
-    Then each switched-off mechanism breaks its load
+  Scenario: Every mechanism of the decisions matters to its load
+    Then each load fails without its mechanism
--- a/features/explain.feature
+++ b/features/explain.feature
@@ -1,21 +1,21 @@
-Feature: What happened to requests, from logs
+Feature: Analysis of requests from logs
 
-  Scenario: The stages of requests come from the lines of many daemons
-    Given the logs of an entry and of a holder of orders
-    When they are explained
+  Scenario: The stages of a request come from the logs of several daemons
+    Given the logs of an entry and of the holder of orders
+    When the logs are analysed
     Then the request that waited for a load shows 0.30 s and 0.20 s
-    And the tables show fetches, refused places and outcomes
+    And the tables show fetches, refused placements and outcomes
 
   Scenario: One request is shown line by line
-    Given the logs of an entry and of a holder of orders
-    Then its lines name both daemons, and no other request's
+    Given the logs of an entry and of the holder of orders
+    Then its lines are those of both daemons and of no other request
 
-  Scenario: Lines that are no events change nothing
-    Given the logs of an entry and of a holder of orders
-    When 100 random lines stand between theirs
-    Then the same is explained
+  Scenario: Lines that are not events are ignored
+    Given the logs of an entry and of the holder of orders
+    When 100 random lines are inserted into each log
+    Then the analysis is unchanged
 
-  Scenario: The page holds its plots in itself
-    Given the logs of an entry and of a holder of orders
-    When a page is written by the command line
-    Then it holds three plots and no link
+  Scenario: The report page embeds its plots
+    Given the logs of an entry and of the holder of orders
+    When the command line writes a report page
+    Then the page embeds three plots and has no link
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -1,9 +1,9 @@
 Feature: Large deployments
   Real replicas, sessions and placement clients run in virtual time.
 
-  Scenario Outline: <scenario>: a new leader is found by all
-    When the fleet goes through <scenario>
-    Then no promise is broken
+  Scenario Outline: Leader changes: <scenario>
+    When the fleet scenario <scenario> runs
+    Then no guarantee is violated
 
     Examples:
       | scenario                     |
@@ -12,5 +12,5 @@
       | heartbeat_held_until_elected |
 
   Scenario: Every guard of a large fleet that is switched off is noticed
-    When each guard of a fleet is switched off
-    Then each is noticed there
+    When each guard of a large fleet is disabled
+    Then each disabled guard is detected
--- a/features/growth.feature
+++ b/features/growth.feature
@@ -1,6 +1,6 @@
 Feature: Route tables, the bootstrap of the log, and retry budgets
 
-  Scenario Outline: A table of routes with <fault> is refused
+  Scenario Outline: A route table with <fault> is refused
     Then the table with <fault> is refused with an error message
 
     Examples:
@@ -16,22 +16,22 @@
       | empty_host           |
       | zero_version         |
 
-  Scenario: The longest prefix of the host selects the route
+  Scenario: The longest matching prefix selects the route
     Then the longest prefix selects the route
 
-  Scenario: A snapshot keeps which instances gave orders to engines
+  Scenario: A snapshot restores which instances gave orders to engines
     Then a snapshot keeps which instances gave orders
 
-  Scenario: A split follows its weights
+  Scenario: A split distributes requests by weight
     Then a split follows its weights
 
-  Scenario: The highest version wins, over restarts too
+  Scenario: The highest version wins, also across restarts
     When 150 random histories of versions are tried
     Then every one agrees with the oracle
 
-  Scenario Outline: <scenario> holds
+  Scenario Outline: Replicated log: <scenario>
     When the scenario <scenario> of the log runs
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                          |
@@ -59,19 +59,19 @@
 
   Scenario: A new leader is not deposed by a candidate that wins no election
     When the scenario new_leader_is_not_deposed of the log runs
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: A candidate that has voted for another gives up its election
     When the scenario vote_for_another_ends_election of the log runs
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: Changes of a table of many routes reach entries in time
     When the scenario many_routes_over_slow_links of the log runs
-    Then no promise is broken
+    Then no guarantee is violated
 
-  Scenario Outline: <scenario> of routes holds
+  Scenario Outline: Route tables: <scenario>
     When the scenario <scenario> of the log runs
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                       |
@@ -79,7 +79,7 @@
       | frequent_changes_of_huge_table |
       | stalled_fetch_is_repeated      |
 
-  Scenario: As many replicas may be lost as the deployment says
+  Scenario: The configured number of replicas may be lost
     When the scenarios of lost replicas run
       | scenario                    |
       | disks_lost_in_a_power_cut   |
@@ -89,11 +89,11 @@
       | disks_lost_during_recovery  |
       | disk_lost_twice             |
       | lost_datacentre             |
-    Then no promise is broken
+    Then no guarantee is violated
 
-  Scenario: Resends over all daemons stay within one budget
+  Scenario: Resends of all daemons together stay within one budget
     Then resends stay within the budget
 
-  Scenario: Every guard of the log that is switched off is noticed
-    When each guard of the log is switched off
-    Then each is noticed there
+  Scenario: Every disabled guard of the log is detected
+    When each guard of the log is disabled
+    Then each disabled guard is detected
--- a/features/heard.feature
+++ b/features/heard.feature
@@ -1,10 +1,10 @@
 Feature: Targets that report that they are leaving or paused
-  The instance list lags, so what a response says of the target that sent it
-  applies at once.
+  The instance list is updated with a delay. The state that a target reports
+  in a response therefore applies at once.
 
   Scenario Outline: <scenario>: entries obey what targets report
     When targets report that they are leaving or paused in <scenario>
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                         |
@@ -22,6 +22,6 @@
       | long_pause_is_avoided            |
       | random_events_with_six_seeds     |
 
-  Scenario: Every disabled guard of what targets report is noticed
+  Scenario: Every disabled guard of what targets report is detected
     When each guard of what targets report is disabled
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/holders.feature
+++ b/features/holders.feature
@@ -1,17 +1,17 @@
-Feature: Who gives orders to an engine, over changes of the leader
-  Guards against an engine that takes orders from one replica, then from
-  another, then from the first again within one lease, after two elections
-  in a row.
+Feature: Which replica issues orders to an engine, across leader changes
+  Guards against an engine that gets orders from one replica, then from
+  another and then from the first again within one lease. This could happen
+  after two elections in a row.
 
-  Scenario: No holder of orders has two turns within a lease
-    When the lead moves away and back, with and without restarts
-    Then no engine saw holders take turns
-    When the lead moves at random with 4 seeds
-    Then no engine saw holders take turns
+  Scenario: Holders of orders never alternate within a lease
+    When leadership moves away and back, with and without restarts
+    Then no engine got orders from alternating holders
+    When leadership moves at random with 4 seeds
+    Then no engine got orders from alternating holders
 
-  Scenario Outline: <scenario>: a wait only where it guards something
+  Scenario Outline: A new holder waits only where necessary: <scenario>
     When the scenario <scenario> of holders runs
-    Then no engine saw holders take turns
+    Then no engine got orders from alternating holders
 
     Examples:
       | scenario                        |
@@ -22,10 +22,10 @@
       | unfenced_holder_waits_again     |
       | resident_adapters_while_waiting |
 
-  Scenario: A tenure keeps to the lease over any elections and restarts
+  Scenario: Tenures respect the lease across elections and restarts
     When 400 random histories of elections are tried
-    Then no engine saw holders take turns
+    Then no engine got orders from alternating holders
 
-  Scenario: Every guard of the right to order that is switched off is noticed
-    When each guard of the right to order is switched off
-    Then each is noticed there
+  Scenario: Every disabled guard of the right to issue orders is detected
+    When each guard of the right to issue orders is disabled
+    Then each disabled guard is detected
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,10 +1,10 @@
-Feature: The holder of an engine's orders
+Feature: The ledger of orders to engines
   Orders are not answered or are executed late, or their answers are lost.
   The fake engine is the oracle: loads must never exceed its adapter slots.
 
-  Scenario Outline: <scenario> keeps the ledger true
+  Scenario Outline: Ledger and engine agree: <scenario>
     When the ledger scenario <scenario> runs
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                       |
@@ -23,10 +23,10 @@
       | store_loads_one_model_at_once  |
       | new_default_version            |
 
-  Scenario: Random loads with late and lost orders keep the ledger true
+  Scenario: Ledger and engine agree despite late and lost orders
     When 24 random loads are tried
-    Then no promise is broken
+    Then no guarantee is violated
 
-  Scenario: Every guard of the ledger that is switched off is noticed
-    When each guard of the ledger is switched off
-    Then each is noticed there
+  Scenario: Every disabled guard of the ledger is detected
+    When each guard of the ledger is disabled
+    Then each disabled guard is detected
--- a/features/promises.feature
+++ b/features/promises.feature
@@ -1,11 +1,11 @@
-Feature: What must always hold
+Feature: Guarantees of the system
   Each scenario would violate a guarantee if the guard behind it were
   missing. The second scenario disables each guard in turn and checks that
   the scenario detects it.
 
-  Scenario Outline: <scenario> breaks no promise
+  Scenario Outline: <scenario> violates no guarantee
     When the scenario <scenario> runs
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                   |
@@ -37,11 +37,11 @@
       | first_lease_lasts          |
       | old_share_notes_readable   |
 
-  Scenario: Every guard that is switched off is noticed
-    When each guard is switched off in its scenario
-    Then each is noticed
+  Scenario: Every disabled guard is detected by its scenario
+    When each guard is disabled in its scenario
+    Then each scenario detects its disabled guard
 
-  Scenario: A fixed part of the fault matrix passes
+  Scenario: A fixed sample of the fault matrix passes
     When every 8th case of the fault matrix runs
     Then every case that reached its step passed
     And at least 40 cases reached their step
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -3,7 +3,7 @@
 
   Scenario Outline: <scenario>: only fatal requests are quarantined
     When requests crash targets in <scenario>
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                          |
@@ -29,6 +29,6 @@
       | fatal_prompt                      |
       | fatal_call                        |
 
-  Scenario: Every disabled guard against such requests is noticed
+  Scenario: Every disabled guard against such requests is detected
     When each guard against requests that crash targets is disabled
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,13 +1,13 @@
 Feature: Checked settings
   All faults are reported together, each with the path of its setting.
 
-  Scenario: Good settings pass and defaults are filled in
-    Given good settings
-    Then they are taken
+  Scenario: Valid settings pass and defaults are filled in
+    Given valid settings
+    Then they are accepted
     And lease.lease_s is 3.0
 
   Scenario Outline: <key> set to <value> is refused at <path>
-    Given good settings
+    Given valid settings
     When <key> is set to <value>
     Then the fault is at <path>
 
@@ -32,7 +32,7 @@
       | nonsense              | 1                  | $                   |
 
   Scenario: All faults are reported at once
-    Given good settings
+    Given valid settings
     When name is set to "a b"
     And peer_token is set to "short"
     And routing is set to "random"
--- a/features/starts.feature
+++ b/features/starts.feature
@@ -1,11 +1,11 @@
-Feature: Targets that start again under the name that they had
-  A restart voids what is known of the target: its ledger, the requests
-  counted there, its copies and its faults. The list of targets lags, and a
-  start may have no start time.
+Feature: Targets that restart under the same name
+  A restart invalidates the state kept for a target: its ledger, the requests
+  counted there, its copies and its faults. The instance list is updated with
+  a delay, and may lack the start time of a target.
 
-  Scenario Outline: <scenario>: what is known is of this start
-    When the starts go as in <scenario>
-    Then no promise is broken
+  Scenario Outline: Outdated state is discarded: <scenario>
+    When targets restart as in <scenario>
+    Then no guarantee is violated
 
     Examples:
       | scenario                   |
@@ -15,14 +15,14 @@
       | same_start_listed_again    |
       | start_time_listed_late     |
 
-  Scenario: Random loads with engines that start again keep the ledger true
-    When 16 random loads with starts are tried
-    Then no promise is broken
+  Scenario: Ledger and engine agree when engines restart under load
+    When 16 random loads with restarts are tried
+    Then no guarantee is violated
 
-  Scenario: A start that was told stays in force, however old the list is
+  Scenario: A reported start stays in force although the list is older
     When 300 random histories of starts are tried
-    Then no promise is broken
+    Then no guarantee is violated
 
-  Scenario: Every guard of a start that is switched off is noticed
-    When each guard of a start is switched off
-    Then each is noticed there
+  Scenario: Every disabled guard of restarts is detected
+    When each guard of restarts is disabled
+    Then each disabled guard is detected
--- a/features/steps/digests.py
+++ b/features/steps/digests.py
@@ -15,12 +15,12 @@
     context.faults = ledger.run(digests.check_many_targets_over_small_links())
 
 
-@behave.when("{count:d} random histories of targets are followed in pieces")
+@behave.when("{count:d} random histories of targets are sent in pieces")
 def follow(context, count: int) -> None:
     context.faults = digests.check_random_histories(count)
 
 
-@behave.when("each guard of the pieces is switched off")
+@behave.when("each guard of the digest pieces is disabled")
 def piece_mutants(context) -> None:
     context.mutants = digests.MUTANTS
     numbers = range(len(digests.MUTANTS))
--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -86,7 +86,7 @@
     return explain.read_events(context.logs)
 
 
-@behave.given("the logs of an entry and of a holder of orders")
+@behave.given("the logs of an entry and of the holder of orders")
 def write_logs(context) -> None:
     context.folder = pathlib.Path(tempfile.mkdtemp())
     context.logs = [context.folder / "entry.log", context.folder / "h.log"]
@@ -94,7 +94,7 @@
     context.logs[1].write_text("\n".join(_holder_lines()) + "\n")
 
 
-@behave.when("they are explained")
+@behave.when("the logs are analysed")
 def explain_all(context) -> None:
     events = _read(context)
     context.request_traces = explain.request_traces(events)
@@ -109,7 +109,7 @@
     assert trace.loaded and trace.new_tokens == 3000, trace
 
 
-@behave.then("the tables show fetches, refused places and outcomes")
+@behave.then("the tables show fetches, refused placements and outcomes")
 def tables(context) -> None:
     text = "\n".join(context.tables)
     for wanted in (
@@ -120,7 +120,7 @@
         assert wanted in text, (wanted, text)
 
 
-@behave.then("its lines name both daemons, and no other request's")
+@behave.then("its lines are those of both daemons and of no other request")
 def describe_request(context) -> None:
     lines = explain.describe_request("r1", _read(context))
     text = "\n".join(lines)
@@ -128,7 +128,7 @@
     assert "loaded" in text and "no_place" not in text, text
 
 
-@behave.when("{count:d} random lines stand between theirs")
+@behave.when("{count:d} random lines are inserted into each log")
 def add_noise(context, count: int) -> None:
     events = _read(context)
     context.tables = explain.summary(explain.request_traces(events), events)
@@ -141,14 +141,14 @@
         path.write_text("\n".join(lines) + "\n")
 
 
-@behave.then("the same is explained")
+@behave.then("the analysis is unchanged")
 def same_tables(context) -> None:
     events = _read(context)
     found = explain.summary(explain.request_traces(events), events)
     assert found == context.tables, "\n".join(found)
 
 
-@behave.when("a page is written by the command line")
+@behave.when("the command line writes a report page")
 def write_page(context) -> None:
     context.page = context.folder / "page.html"
     done = subprocess.run(
@@ -167,7 +167,7 @@
     assert done.returncode == 0, done.stderr
 
 
-@behave.then("it holds three plots and no link")
+@behave.then("the page embeds three plots and has no link")
 def page_whole(context) -> None:
     text = context.page.read_text()
     assert text.count("data:image/png;base64,") == 3, text[:300]
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -9,12 +9,12 @@
 JOBS = 3
 
 
-@behave.when("the fleet goes through {name}")
+@behave.when("the fleet scenario {name} runs")
 def fleet_scenario(context, name: str) -> None:
     context.faults = fleet.run_scenario(name)
 
 
-@behave.when("each guard of a fleet is switched off")
+@behave.when("each guard of a large fleet is disabled")
 def fleet_mutants(context) -> None:
     context.mutants = fleet.MUTANTS
     numbers = range(len(fleet.MUTANTS))
--- a/features/steps/growth.py
+++ b/features/steps/growth.py
@@ -64,7 +64,7 @@
     assert not faults, faults[:3]
 
 
-@behave.when("each guard of the log is switched off")
+@behave.when("each guard of the log is disabled")
 def log_mutants(context) -> None:
     context.mutants = growth.MUTANTS
     numbers = range(len(growth.MUTANTS))
--- a/features/steps/holders.py
+++ b/features/steps/holders.py
@@ -6,7 +6,7 @@
 from features.support import holders
 
 
-@behave.when("the lead moves away and back, with and without restarts")
+@behave.when("leadership moves away and back, with and without restarts")
 def away_and_back(context) -> None:
     context.faults = [
         fault
@@ -15,7 +15,7 @@
     ]
 
 
-@behave.when("the lead moves at random with {count:d} seeds")
+@behave.when("leadership moves at random with {count:d} seeds")
 def random_elections(context, count: int) -> None:
     context.faults = holders.run_random(count)
 
@@ -40,13 +40,13 @@
         context.faults = [str(error)]
 
 
-@behave.when("each guard of the right to order is switched off")
+@behave.when("each guard of the right to issue orders is disabled")
 def holder_mutants(context) -> None:
     context.mutants = holders.MUTANTS
     numbers = range(len(holders.MUTANTS))
     context.found = [holders.run_mutant(number) for number in numbers]
 
 
-@behave.then("no engine saw holders take turns")
+@behave.then("no engine got orders from alternating holders")
 def no_turns(context) -> None:
     assert not context.faults, context.faults[:3]
--- a/features/steps/ledger.py
+++ b/features/steps/ledger.py
@@ -21,7 +21,7 @@
     context.faults = [fault for faults in found for fault in faults]
 
 
-@behave.when("each guard of the ledger is switched off")
+@behave.when("each guard of the ledger is disabled")
 def run_mutants(context) -> None:
     context.mutants = ledger.MUTANTS
     numbers = range(len(ledger.MUTANTS))
@@ -29,7 +29,7 @@
         context.found = pool.map(ledger.run_mutant, numbers, chunksize=1)
 
 
-@behave.then("each is noticed there")
+@behave.then("each disabled guard is detected")
 def each_noticed(context) -> None:
     missed = [
         mutant[0]
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -246,7 +246,7 @@
     system.launch("entry-1")
 
 
-@behave.then("it ends with code 1 and says to remove the data folder")
+@behave.then("it exits with code 1 and says to remove the data folder")
 def says_what_to_do(context) -> None:
     run = context.run
     code = run.run_sync(run.system.wait_exit("entry-1", 20))
@@ -341,7 +341,7 @@
     return target
 
 
-@behave.given("a long answer on its way from an engine of another daemon")
+@behave.given("a long answer streaming from an engine of another daemon")
 def long_answer(context) -> None:
     context.long = context.run.run_sync(_begin_long_answer(context.run, False))
 
@@ -351,7 +351,7 @@
     context.run.system.kill(context.long["owner"])
 
 
-@behave.then("the answer is whole and exact or ends in a typed failure")
+@behave.then("the answer is complete and exact or ends with a typed error")
 def whole_or_typed(context) -> None:
     result = context.run.run_sync(context.long["task"])
     wanted = standins.expected_text("adapter-0@v1", "long", LONG_TOKENS)
@@ -445,7 +445,7 @@
     context.run.run_sync(context.load)
 
 
-@behave.when("an owner is frozen past its lease and wakes")
+@behave.when("an owner is frozen past its lease and resumes")
 def freeze_owner(context) -> None:
     run = context.run
     status = run.run_sync(run.status())
@@ -460,7 +460,7 @@
     _end_load(context)
 
 
-@behave.then("no engine took an order with an old fencing number")
+@behave.then("no engine executed an order with an old fencing token")
 def no_stale(context) -> None:
     run = context.run
     for name in run.system.engines:
@@ -475,13 +475,13 @@
         assert not run.run_sync(run.records(name))["evicted_while_serving"]
 
 
-@behave.then("every answer was exact or a typed refusal")
+@behave.then("every answer was exact or a typed error")
 def exact_or_typed(context) -> None:
     for wanted, result in context.run.results:
         assert result.code or result.text == wanted, result
 
 
-@behave.when("a daemon is told to stop as planned")
+@behave.when("a daemon is stopped gracefully")
 def planned_stop(context) -> None:
     run = context.run
     context.stopped = run.run_sync(run.leader())
@@ -555,7 +555,7 @@
     assert all(context.counts[key] == 1 for key in answered)
 
 
-@behave.when("a caller goes away in mid-stream")
+@behave.when("a caller disconnects in mid-stream")
 def caller_leaves(context) -> None:
     run = context.run
     context.long = run.run_sync(_begin_long_answer(run, False))
@@ -578,7 +578,7 @@
     run.run_sync(run.system.eventually(cancelled, "the run to be cancelled"))
 
 
-@behave.given("a long answer on its way from an engine behind a relay")
+@behave.given("a long answer streaming from an engine behind a relay")
 def behind_relay(context) -> None:
     run = context.run
 
@@ -622,12 +622,12 @@
     )
 
 
-@behave.when("the relay is cut in silence")
+@behave.when("the relay stops forwarding but keeps connections open")
 def cut_relay(context) -> None:
     context.relay.cut()
 
 
-@behave.then("the caller gets a typed failure within {seconds:d} seconds")
+@behave.then("the caller gets a typed error within {seconds:d} seconds")
 def typed_in_time(context, seconds: int) -> None:
     run = context.run
 
@@ -640,7 +640,7 @@
     assert wanted.startswith(result.text)
 
 
-@behave.then("curl gets a streamed answer that ends in its end mark")
+@behave.then("curl gets a streamed answer with its end mark")
 def by_curl(context) -> None:
     assert shutil.which("curl"), "curl is not installed"
     address = context.run.system.addresses[0]
@@ -804,7 +804,7 @@
     assert not wrong, wrong
 
 
-@behave.then("a half-open caller does not keep others from an answer")
+@behave.then("a caller leaves its request incomplete")
 def half_open(context) -> None:
     host, _, port = context.run.system.addresses[0].rpartition(":")
 
@@ -820,7 +820,7 @@
     context.run.run_sync(open_half())
 
 
-@behave.then("a good request is answered")
+@behave.then("a valid request of another caller is answered")
 def good_answered(context) -> None:
     result = context.run.run_sync(
         context.run.client.complete("adapter-0", "x", 3)
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -21,12 +21,12 @@
     context.faults = scenarios.run_scenario(name)
 
 
-@behave.then("no promise is broken")
+@behave.then("no guarantee is violated")
 def none_broken(context) -> None:
     assert not context.faults, context.faults
 
 
-@behave.when("each guard is switched off in its scenario")
+@behave.when("each guard is disabled in its scenario")
 def run_mutants(context) -> None:
     with _pool() as pool:
         context.found = pool.map(
@@ -34,7 +34,7 @@
         )
 
 
-@behave.then("each is noticed")
+@behave.then("each scenario detects its disabled guard")
 def each_noticed(context) -> None:
     missed = [
         mutant.name
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -9,7 +9,7 @@
 behave.use_step_matcher("parse")
 
 
-@behave.given("good settings")
+@behave.given("valid settings")
 def good(context) -> None:
     context.values = {
         "name": "entry-1",
@@ -36,7 +36,7 @@
     return []
 
 
-@behave.then("they are taken")
+@behave.then("they are accepted")
 def taken(context) -> None:
     assert not _faults(context), _faults(context)
 
--- a/features/steps/starts.py
+++ b/features/steps/starts.py
@@ -10,12 +10,12 @@
 JOBS = 6
 
 
-@behave.when("the starts go as in {name}")
+@behave.when("targets restart as in {name}")
 def start_scenario(context, name: str) -> None:
     context.faults = starts.run_scenario(name)
 
 
-@behave.when("{count:d} random loads with starts are tried")
+@behave.when("{count:d} random loads with restarts are tried")
 def random_starts(context, count: int) -> None:
     with multiprocessing.get_context("fork").Pool(JOBS) as pool:
         found = pool.map(starts.run_random, range(count), chunksize=1)
@@ -36,7 +36,7 @@
         context.faults = [str(error)]
 
 
-@behave.when("each guard of a start is switched off")
+@behave.when("each guard of restarts is disabled")
 def start_mutants(context) -> None:
     context.mutants = starts.MUTANTS
     numbers = range(len(starts.MUTANTS))
