--- a/features/growth.feature
+++ b/features/growth.feature
@@ -1,4 +1,4 @@
-Feature: Route tables, the bootstrap of the log, and retry budgets
+Feature: Route tables, the replicated log and retry budgets
 
   Scenario Outline: A route table with <fault> is refused
     Then the table with <fault> is refused with an error message
--- a/features/steps/growth.py
+++ b/features/steps/growth.py
@@ -1,4 +1,4 @@
-"""Steps of route tables, the bootstrap of the log, and retry budgets."""
+"""Steps of route tables, the replicated log and retry budgets."""
 
 import behave
 import hypothesis
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -1,4 +1,4 @@
-"""Tests of route tables, the bootstrap of the log, and retry budgets."""
+"""Tests of route tables, the replicated log and retry budgets."""
 
 import asyncio
 import collections.abc
@@ -99,7 +99,7 @@
 
 
 def check_split_weights() -> list[str]:
-    """Requests are split by weight, and weight 0 gets none."""
+    """Requests are split by weight; a split of weight 0 gets none."""
     splits = (
         catalogue.Split("llm", 0),
         catalogue.Split("app", 9),
@@ -124,7 +124,8 @@
 )
 
 
-# Tables hold the first 0, 30 or 60 of these; 60 are about 12,000 characters.
+# Tables hold the first 0, 30 or 60 of these routes. All 60 take about 12,000
+# characters.
 MANY = tuple(route(f"many-{number}") for number in range(60))
 
 
@@ -220,10 +221,11 @@
 
 
 async def daemons_of_former_leaders_count() -> list[str]:
-    """For one lease a session keeps the daemons that former leaders knew.
+    """A session counts the daemons of former leaders for one lease.
 
-    A new leader knows only the daemons that have contacted it. Here two are
-    elected in a row, and the session must still count all 30 daemons.
+    A new leader knows only the daemons that have contacted it. Here two
+    leaders are elected in a row: the session must count all 30 daemons at
+    first, and the 2 daemons of the last leader after a lease.
     """
 
     def info(number: int) -> control.DaemonInfo:
@@ -322,12 +324,14 @@
 
 
 async def _form_replicas(count: int = 3, seed: int = 1) -> Replicas:
+    """Return replicas of which the first three have formed a log."""
     replicas = Replicas(count, seed)
     await replicas.form()
     return replicas
 
 
 def _change(version: int) -> bytes:
+    """Return an encoded command that replaces the table of routes."""
     replace = catalogue.ReplaceRoutes(table(version=version), str(version))
     return wire.encode(catalogue.Command(replace_routes=replace))
 
@@ -338,7 +342,7 @@
     voters = {len(n.config.voters) for n in replicas.node_by_address.values()}
     leader = await replicas.leader()
     await leader.propose(_change(1))
-    return [] if voters == {3} else [f"voters {voters}"]
+    return [] if voters == {3} else [f"numbers of voters: {voters}"]
 
 
 async def _check_running_replicas_vote(replicas: Replicas) -> list[str]:
@@ -366,7 +370,10 @@
 
 
 async def form_call_waits_for_disks() -> list[str]:
-    """A call to form the log waits until all seeds have read their disks."""
+    """A request to form the log waits until all seeds have read their disks.
+
+    It is sent while two of the three seeds are still reading.
+    """
     replicas = Replicas(3)
     starts = []
     for address, read_s in zip(replicas.addresses, (0.0, 0.2, 0.4)):
@@ -404,15 +411,15 @@
         faults.append(f"last index {node.last_index}, not {leader.last_index}")
     kept = [e.index for e in (await quorum.Storage(disk).load()).entries]
     if kept != list(range(1, leader.last_index + 1)):
-        faults.append(f"entries on disk {kept}")
+        faults.append(f"indexes of the entries on disk: {kept}")
     return faults
 
 
 async def no_votes_while_loading() -> list[str]:
     """A replica that is still reading its disk grants no vote.
 
-    It could elect a candidate whose log is behind its own, which would lose
-    an acknowledged change.
+    Its vote could elect a candidate whose log is behind its own, and an
+    acknowledged change would be lost.
     """
     replicas = Replicas(3)
     leader = await replicas.form()
@@ -439,7 +446,7 @@
 async def append_survives_cancelled_call() -> list[str]:
     """A follower completes a write although the leader cancels its call.
 
-    A write that ends half-way would leave the log on disk out of order.
+    A write that stopped half-way would leave the log on disk out of order.
     """
     faults = []
     for seed in range(30):
@@ -495,7 +502,10 @@
 
 
 async def new_replica_replaces_voter() -> list[str]:
-    """A replica with a new name replaces a voter that is gone."""
+    """A replica with a new name replaces a voter that is gone for long.
+
+    It must not be a voter while the replica that it replaces still runs.
+    """
     replicas = await _form_replicas(4)
     leader = await replicas.leader()
     await leader.propose(_change(1))
@@ -512,11 +522,11 @@
     await leader.propose(_change(2))
     await asyncio.sleep(1)
     names = {member.name for member in leader.config.voters}
-    faults = ["The successor was a voter too early."] if early else []
+    faults = ["The new replica voted while all others ran."] if early else []
     if names != (set(replicas.addresses) - {gone}):
         faults.append(f"voters {names}")
     if replicas.machine_by_address[new].routes_document != "2":
-        faults.append("The successor lacks the newest change.")
+        faults.append("The new replica lacks the newest change.")
     return faults
 
 
@@ -633,7 +643,7 @@
         for session in sessions:
             await stack.enter_async_context(session)
         await asyncio.sleep(3.0)
-        faults = [] if all(s.fresh() for s in sessions) else ["no leases"]
+        faults = [] if all(s.fresh() for s in sessions) else ["no lease"]
         cut = sessions[0]
         for address in replicas.addresses:
             replicas.network.cut(cut.daemon.address, address)
@@ -674,19 +684,19 @@
 async def _watch_leases(
     sessions: list[control.Session], faults: list[str], for_s: float
 ) -> None:
-    """Append a fault when a session is without a lease at any moment."""
+    """Append a fault, once, if a session is without a lease."""
     for _ in range(int(for_s / 0.05)):
         await asyncio.sleep(0.05)
         lost = [s.daemon.id for s in sessions if not s.fresh()]
         if lost:
-            faults.append(f"{len(lost)} without a lease")
+            faults.append(f"entries without a lease: {lost}")
             return
 
 
 async def _change_table_repeatedly(
     routes: int, changes: int, gap_s: float, link_bytes_per_s: float
 ) -> tuple[list[str], list[int]]:
-    """Change a table often; return faults and received bytes by entry.
+    """Change a table often; return faults and the bytes each entry received.
 
     Each change appends a route. Entries have slow links; they must hold
     their leases throughout, and have the newest table one lease after the
@@ -721,7 +731,7 @@
         await watching
         found = {s.view.routes.table.version for s in sessions}
         if found != {changes}:
-            faults.append(f"versions {found} of {changes} in force")
+            faults.append(f"versions {found} in force, not {changes}")
         received = [replicas.network.received[s.daemon.id] for s in sessions]
     await replicas.stop_all()
     return faults, received
@@ -737,7 +747,7 @@
         1_500, 40, 0.025, 625_000
     )
     if max(received) > 376_000:
-        faults.append(f"{max(received)} bytes to an entry")
+        faults.append(f"an entry received {max(received)} bytes")
     return faults
 
 
@@ -784,7 +794,7 @@
 
 
 async def leader_change_wakes_callers() -> list[str]:
-    """Callers that wait for a lost leader are woken when another is found."""
+    """The event that callers wait for is set once another leader is found."""
     faults = []
     for seed in range(10):
         replicas = await _form_replicas(seed=seed)
@@ -801,13 +811,13 @@
             if session.leader.address == old:
                 faults.append(f"seed {seed}: no other leader found")
             elif not moved.is_set():
-                faults.append(f"seed {seed}: event of the move not set")
+                faults.append(f"seed {seed}: the event was not set")
         await replicas.stop_all()
     return faults
 
 
 async def two_replicas_restart() -> list[str]:
-    """Two of three replicas that restart together elect a leader soon.
+    """Two of three replicas that restart together elect a leader within 4 s.
 
     Each needs the other's vote; candidates that always start their elections
     at the same moment would never elect one.
@@ -831,9 +841,10 @@
 
 
 async def all_replicas_restart() -> list[str]:
-    """After a restart of all replicas one leads before the election time-out.
+    """Replicas that restart together elect a leader early, with all votes.
 
-    They can elect one early, since none of them can still hold a lease.
+    They need not wait for an election time-out, since none of them can still
+    hold a lease. The median must be 0.4 s at most, the maximum 3 s.
     """
     faults = []
     times = []
@@ -895,7 +906,7 @@
 
     Two replicas start elections within 20 ms, sometimes with different
     terms, in a network with one-way delays of up to 9 ms and no partition.
-    So a leadership that ends was ended by the other candidate.
+    If a leadership ends, the other candidate has therefore ended it.
     """
     faults = []
     for seed in range(ELECTION_COUNT):
@@ -912,7 +923,8 @@
 async def late_leadership_transfer() -> list[str]:
     """A leadership transfer is valid only in the term that it was sent in.
 
-    Carried out later, it would bypass the lease of the next leader.
+    An election started by it in a later term would ignore the lease of the
+    leader of that term.
     """
     replicas = await _form_replicas()
     leader = await replicas.leader()
@@ -928,10 +940,10 @@
     await successor.on_lead(
         quorum_messages.LeadRequest(successor.member.id, successor.term)
     )
-    # The election loop runs only after the next term is known.
+    # The next term becomes known before the election loop runs.
     successor._vote = quorum_messages.Vote(successor.term + 1)
     await asyncio.sleep(0.3)
-    return ["It bypassed the next leader's lease."] if any(elections) else []
+    return ["A late transfer began an election."] if any(elections) else []
 
 
 async def vote_for_another_ends_election() -> list[str]:
@@ -1020,7 +1032,7 @@
 
 
 async def random_numbers_differ() -> list[str]:
-    """Daemons draw different numbers although uuid4 returns the same."""
+    """Random numbers and ids differ even if uuid4 repeats its results."""
     same = unittest.mock.patch.object(uuid, "uuid4", lambda: uuid.UUID(int=7))
     with same:
         draws = {wire.make_rng(f"r{n}").random() for n in range(20)}
@@ -1184,7 +1196,11 @@
     async def wait_for_voters(
         self, addresses: set[str], within_s: float
     ) -> str | None:
-        """Wait until exactly these are voters, all running; return a fault."""
+        """Wait until exactly these replicas vote, all running.
+
+        Returns:
+            A fault if they don't within the time, else None.
+        """
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + within_s
         found: set[str] = set()
@@ -1196,19 +1212,19 @@
             if found == addresses and ids <= running:
                 return None
             await asyncio.sleep(0.05)
-        return f"{sorted(found)} vote, not {sorted(addresses)}"
+        return f"voters {sorted(found)}, not {sorted(addresses)}"
 
     async def wait_for_voter_count(
         self, wanted: int, within_s: float = 8.0
     ) -> list[str]:
-        """Wait for this number of voters; return faults."""
+        """Wait for a number of voters; return a fault if it isn't reached."""
         ends_at = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < ends_at:
             leader = await self.leader()
             if len(leader.config.voters) == wanted:
                 return []
             await asyncio.sleep(0.05)
-        return [f"{len(leader.config.voters)} of {wanted} vote"]
+        return [f"{len(leader.config.voters)} voters, not {wanted}"]
 
     async def commit_version(self, version: int) -> None:
         """Commit a change of the routes."""
@@ -1216,7 +1232,7 @@
         await leader.propose(_change(version))
 
     async def check_leader(self, version: int, within_s: float) -> list[str]:
-        """Wait for a leader and check its version; return faults."""
+        """Check when a leader is found, and its version; return faults."""
         loop = asyncio.get_running_loop()
         before = loop.time()
         try:
@@ -1233,7 +1249,7 @@
         return faults
 
     async def check_recovery(self, within_s: float) -> list[str]:
-        """Check for a leader with version 1, then commit version 2."""
+        """Check that a leader has version 1, then commit version 2."""
         faults = await self.check_leader(1, within_s)
         if not faults:
             await self.commit_version(2)
@@ -1291,7 +1307,7 @@
 
 
 async def voters_without_power() -> list[str]:
-    """The log is available while the tolerated number is without power."""
+    """The log is available while the tolerated number of voters is down."""
 
     async def check(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
@@ -1343,7 +1359,7 @@
         await asyncio.sleep(0.002)
     wanted = 2 * replicas.losses + 1
     if len(last.voters) != wanted:
-        faults.append(f"{len(last.voters)} of {wanted} vote")
+        faults.append(f"{len(last.voters)} voters, not {wanted}")
     if len(last.members) != len(replicas.addresses):
         faults.append(f"{len(last.members)} members")
     await replicas.stop_all()
@@ -1364,7 +1380,7 @@
         spare = everyone - replicas.voters(leader)
         learners = {m.address for m in leader.config.learners}
         if len(spare) != 1 or learners != spare:
-            faults.append(f"{len(learners)} learners, {len(spare)} not voting")
+            faults.append(f"learners {learners}, not voting {spare}")
         gone = replicas.rng.choice(sorted(replicas.voters(leader)))
         await replicas.lose_power(gone)
         wrong = await replicas.wait_for_voters(everyone - {gone}, 8.0)
@@ -1387,7 +1403,10 @@
 
 
 async def disks_lost_during_recovery() -> list[str]:
-    """Another disk is lost while the replica of the first one recovers."""
+    """Disks are lost one after another, then the others lose power.
+
+    The replicas with lost disks may still be recovering.
+    """
 
     async def check(replicas: DeployedReplicas) -> list[str]:
         faults = await replicas.wait_for_voter_count(5)
@@ -1416,7 +1435,7 @@
         others = replicas.voters(leader) - {leader.member.address}
         lost = replicas.rng.choice(sorted(others))
         await replicas.lose_disk(lost)
-        # Slow enough to be lost before it has caught up.
+        # The slow disk keeps the learner from catching up before the crash.
         replicas.disk_by_address[lost].sync_s = 1.0
         first = await replicas.start(lost)
         for _ in range(400):
@@ -1454,7 +1473,9 @@
             leader = await replicas.leader()
             voting = [where[a] for a in replicas.voters(leader)]
             if 2 * voting.count(lost) >= len(voting):
-                faults.append(f"voters in {voting}")
+                faults.append(
+                    f"{lost} has half of the voters or more: {voting}"
+                )
         for address in [a for a in where if where[a] == "da"]:
             await replicas.lose_power(address)
         await asyncio.sleep(0.6)
@@ -1487,7 +1508,7 @@
     faults = [f"{name} was imported" for name in unused & set(loaded)]
     try:
         daemon.Nothing
-        faults.append("An unknown name was found.")
+        faults.append("An attribute that does not exist was found.")
     except AttributeError:
         pass
     if not issubclass(daemon.Daemon, object):
@@ -1539,52 +1560,52 @@
 
 
 async def _run_until_cancelled(_: quorum.Node, work, *args: object) -> object:
-    """Cancel a write with its caller: the replacement in a mutant."""
+    """Run a write that is cancelled with its caller, for a mutant."""
     return await work(*args)
 
 
 _IS_UNRESPONSIVE = quorum.Node._is_unresponsive
 _WITHOUT_LOAD_CHECK = (quorum.Node, "_check_loaded", lambda _: None)
-# Each mutant switches off a guard: its name, the scenario that must notice,
-# and the arguments of mock.patch.object.
+# Each mutant disables a guard: what it does instead, the scenario that must
+# fail, and the arguments of mock.patch.object.
 MUTANTS = (
     (
-        "answer with any table",
+        "send tables of any size in heartbeat replies",
         "huge_table_over_slow_links",
         (control_coordinator, "MAX_EFFECT_BYTES", 1_000_000_000),
     ),
     (
-        "lose the leases that wait for a fetch",
+        "renew no leases during a fetch",
         "frequent_changes_of_huge_table",
         (control_session, "MAX_PENDING_RENEWALS", 0),
     ),
     (
-        "wait for a silent fetch",
+        "abandon no stalled fetch",
         "stalled_fetch_is_repeated",
         (control_session, "STATE_SILENCE_S", 60.0),
     ),
     (
-        "send tables as text",
+        "send effects without compression",
         "many_routes_over_slow_links",
         (catalogue.Effect, "compressed", lambda effect: effect),
     ),
     (
-        "send versions that are void",
+        "send superseded versions",
         "many_routes_over_slow_links",
         (catalogue.CatalogueMachine, "_drop_superseded", lambda *_: None),
     ),
     (
-        "tell two candidates that they would win",
+        "grant pre-votes to two candidates",
         "new_leader_is_not_deposed",
         (quorum.Node, "_reserve_pre_vote", lambda *_: True),
     ),
     (
-        "stand on after a vote for another",
+        "continue an election after voting for another",
         "vote_for_another_ends_election",
         (quorum.Node, "_election_still_valid", lambda *_: True),
     ),
     (
-        "lead early by a majority",
+        "win an early election with a majority",
         "lease_outlives_restarts",
         (
             quorum.Node,
@@ -1592,21 +1613,33 @@
             lambda node, _: node.config.majority,
         ),
     ),
-    ("name an id too early", "forms_with_slow_disks", _WITHOUT_LOAD_CHECK),
-    ("write too early", "no_appends_while_loading", _WITHOUT_LOAD_CHECK),
-    ("vote too early", "no_votes_while_loading", _WITHOUT_LOAD_CHECK),
     (
-        "end writes with their callers",
+        "report an id before the disk is read",
+        "forms_with_slow_disks",
+        _WITHOUT_LOAD_CHECK,
+    ),
+    (
+        "append before the disk is read",
+        "no_appends_while_loading",
+        _WITHOUT_LOAD_CHECK,
+    ),
+    (
+        "vote before the disk is read",
+        "no_votes_while_loading",
+        _WITHOUT_LOAD_CHECK,
+    ),
+    (
+        "cancel writes with their callers",
         "append_survives_cancelled_call",
         (quorum.Node, "_run_to_completion", _run_until_cancelled),
     ),
     (
-        "as many voters as seeds",
+        "limit the voters to the number of seeds",
         "disks_lost_in_a_power_cut",
         (daemon.RoleSettings, "voters", 3),
     ),
     (
-        "bring in whoever caught up",
+        "add voters beyond the limit",
         "voters_are_added_one_by_one",
         (
             quorum.Node,
@@ -1617,12 +1650,12 @@
         ),
     ),
     (
-        "never ask again who was let go",
+        "never join again after a removal",
         "learner_replaces_voter",
         (quorum.Node, "_may_have_been_removed", lambda _: False),
     ),
     (
-        "wait for a learner for ever",
+        "wait for an unresponsive learner for ever",
         "disk_lost_twice",
         (
             quorum.Node,
@@ -1632,7 +1665,7 @@
         ),
     ),
     (
-        "let one data centre hold the majority",
+        "let one data centre hold a majority",
         "lost_datacentre",
         (quorum.Node, "_overrepresented_voter", lambda *_: None),
     ),
@@ -1640,7 +1673,7 @@
 
 
 def run_mutant(number: int) -> list[str]:
-    """Run the scenario of a mutant with its guard switched off."""
+    """Run the scenario of a mutant with its guard disabled."""
     _, scenario, guard = MUTANTS[number]
     with ledger.disabled_guard(guard):
         try:
