--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -265,8 +265,9 @@
 ) -> dict:
     """Start a long completion at a daemon that does not own the engine.
 
-    A daemon that does not know yet where the adapter is resident may choose
-    another engine than that of the previous request.
+    Retries if the engine turns out to be owned by the daemon. A daemon that
+    does not know yet where the adapter is resident may choose another engine
+    than that of the previous request.
     """
     client = run.client
     warm = await client.complete("adapter-0", "warm", 2)
@@ -304,7 +305,8 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
     raise AssertionError(
-        f"Every run was on an engine that its entry owns: {owner}"
+        f"All {MAX_STARTS} runs were on engines that their entry owns, the "
+        f"last owner was {owner}"
     )
 
 
@@ -357,7 +359,9 @@
     wanted = standins.expected_text("adapter-0@v1", "long", LONG_TOKENS)
     if result.code:
         assert result.code in ("truncated", "deadline"), result
-        assert wanted.startswith(result.text), "not a prefix"
+        assert wanted.startswith(
+            result.text
+        ), "the text is not a prefix of the expected one"
     else:
         assert result.text == wanted, "the text differs from the expected one"
 
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes at the interfaces, and an oracle to check against."""
+"""Scenarios, simulated clusters and oracles that the steps run."""
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -379,7 +379,7 @@
 
     @stateful.rule(daemon=st.integers(0, 4))
     def lease_ended(self, daemon) -> None:
-        """End the lease of a daemon whose runs continue."""
+        """End the lease of a daemon; its runs may continue."""
         boot = f"boot-{daemon}"
         if boot in self.silent:
             return
--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -115,6 +115,7 @@
 async def _cut(
     entry: EntryInstance, for_s: float, outward: bool, inward: bool
 ):
+    """Drop the daemon's outgoing or incoming messages, or both, for a time."""
     world = entry.world
     others = [p.address for p in world.entries if p is not entry]
     for other in others:
@@ -397,7 +398,7 @@
 
 
 async def _run_load(world: SimulatedCluster) -> None:
-    """Run calls, edits and scheduled events for LOAD_DURATION_S seconds."""
+    """Run calls and changes, and cause rare steps, for LOAD_DURATION_S."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     tasks: set[asyncio.Task] = set()
@@ -471,7 +472,8 @@
 async def stop_and_start(entry: EntryInstance) -> None:
     """Stop a daemon gracefully and restart it.
 
-    No request in progress may be aborted by the stop.
+    Does nothing if the daemon is down, frozen or already stopping, and does
+    not restart it if it was killed or replaced meanwhile.
     """
     world = entry.world
     if not entry.up or entry.frozen or entry.daemon.stopping:
--- a/features/support/oracle.py
+++ b/features/support/oracle.py
@@ -14,7 +14,9 @@
     from features.support import world as world_lib
 
 CHECK_INTERVAL_S = 0.2
+# A daemon that holds a lease must apply a change within this time.
 MAX_PROPAGATION_S = 8.0
+# A target that leaves must get no new runs after this time.
 MAX_LEAVING_NOTICE_S = 5.0
 
 
@@ -89,7 +91,7 @@
 
 
 class Oracle:
-    """Records answers and changes and collects violated guarantees."""
+    """Records what callers and operators see; collects violations."""
 
     def __init__(self, world: "world_lib.SimulatedCluster") -> None:
         self.world = world
@@ -161,7 +163,7 @@
         )
 
     def record_kill(self, entry: "world_lib.EntryInstance") -> None:
-        """Do nothing: no check depends on a killed process."""
+        """Do nothing: no check depends on kills."""
 
     # Checking.
 
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -500,9 +500,9 @@
 async def runs_outlast_a_leader(seed: int = 1) -> list[str]:
     """A limit holds while a daemon's runs outlast its lease and its leader.
 
-    A new leader that never received a heartbeat of the partitioned daemon
-    used to reassign the daemon's share as soon as the lease had certainly
-    expired, while its runs still went on.
+    Guards against a new leader that never received a heartbeat of the
+    partitioned daemon, and reassigns the daemon's share as soon as the lease
+    has certainly expired although its runs still go on.
     """
     settings = Settings(seed=seed, member_concurrency=6)
     async with SimulatedCluster(settings) as world:
@@ -520,7 +520,7 @@
 
 
 async def old_share_notes_readable(seed: int = 1) -> list[str]:
-    """An old log and snapshot that list sharers by boot id are readable."""
+    """A log and a snapshot in the old format, with boot ids only, are read."""
     entry = wire.decode(
         b'{"note_sharers": {"joined": ["a#1"], "gone": ["b#1"]}}',
         catalogue.Command,
@@ -539,10 +539,10 @@
 async def waiting_as_lease_ends(seed: int = 1) -> list[str]:
     """Requests waiting at a daemon that loses its lease are refused.
 
-    Guards against requests that start after the lease has ended, up to
-    3.4 s later, on a share that was reassigned meanwhile. When a run ended,
-    the daemon admitted the next waiting request without checking its lease.
-    The refusal tells the caller to use another daemon.
+    Guards against a daemon that admits the next waiting request when a run
+    ends, without checking its lease. The request could start up to 3.4 s
+    after the lease has ended, on a share that was reassigned meanwhile. The
+    refusal tells the caller to use another daemon.
     """
     settings = Settings(seed=seed, member_concurrency=1)
     async with SimulatedCluster(settings) as world:
@@ -570,10 +570,10 @@
 async def first_lease_lasts(seed: int = 1) -> list[str]:
     """A daemon's first lease lasts until its next heartbeat is answered.
 
-    Guards against refusing the first command after a start. The first
-    heartbeat waited for a leader at each replica in turn, 1.2 to 1.4 s, and
-    the lease counted from before that wait. It expired within 0.2 s, before
-    the next heartbeat was answered.
+    Guards against a refusal of the first command after a start. The first
+    heartbeat waits for a leader at each replica in turn, for 1.2 to 1.4 s. A
+    lease that counted from before this wait would expire within 0.2 s, before
+    the next heartbeat is answered.
     """
     lease = {"lease_s": 1.5, "heartbeat_s": 0.2, "order_flight_s": 0.2}
     settings = Settings(seed=seed, daemon={"lease": lease})
@@ -677,7 +677,7 @@
         if done > 5.0 * spent_s + 5 + 5:
             faults.append(f"limits: {done} admitted in {spent_s:.1f} s")
         if done < 10:
-            faults.append(f"limits: only {done} admitted")
+            faults.append(f"limits: only {done} of 150 admitted")
         return faults
 
 
@@ -913,7 +913,7 @@
 
 @contextlib.contextmanager
 def lease_from_first_try() -> collections.abc.Iterator[None]:
-    """Start a lease at the first attempt of its heartbeat, not the last."""
+    """Count a lease from the first attempt of its heartbeat, not the last."""
     original = control.Session._sending
     noted: dict[str, int] = {}
 
@@ -962,7 +962,7 @@
     """A disabled guard and the scenario that must detect it.
 
     Args:
-        guarantee: number of the guarantee that the guard protects.
+        guarantee: number of the guarantee, as listed in features/matrix.py.
         guard_off: context manager that disables the guard.
     """
 
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -223,7 +223,7 @@
         await daemon.__aenter__()
 
     async def kill(self, entry: EntryInstance) -> None:
-        """Kill a process and cancel everything that it still has to do."""
+        """Kill a process and cancel its tasks."""
         if not entry.up:
             return
         self.oracle.record_kill(entry)
