--- a/features/steps/cli.py
+++ b/features/steps/cli.py
@@ -35,7 +35,7 @@
 
 
 @behave.then("these commands give these exit codes and this output")
-def commands(context) -> None:
+def run_commands(context) -> None:
     files = _files(context)
     addresses = ",".join(context.run.system.addresses)
     wrong = []
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -809,10 +809,10 @@
 
 
 @behave.then("a caller leaves its request incomplete")
-def half_open(context) -> None:
+def leave_incomplete(context) -> None:
     host, _, port = context.run.system.addresses[0].rpartition(":")
 
-    async def open_half() -> None:
+    async def send_part() -> None:
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(
             b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
@@ -821,11 +821,11 @@
         await writer.drain()
         context.stack.callback(writer.transport.abort)
 
-    context.run.run_sync(open_half())
+    context.run.run_sync(send_part())
 
 
 @behave.then("a valid request of another caller is answered")
-def good_answered(context) -> None:
+def valid_answered(context) -> None:
     result = context.run.run_sync(
         context.run.client.complete("adapter-0", "x", 3)
     )
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -22,7 +22,7 @@
 
 
 @behave.then("no guarantee is violated")
-def none_broken(context) -> None:
+def no_violations(context) -> None:
     assert not context.faults, context.faults
 
 
@@ -35,7 +35,7 @@
 
 
 @behave.then("each scenario detects its disabled guard")
-def each_noticed(context) -> None:
+def each_detected(context) -> None:
     missed = [
         mutant.name
         for mutant, faults in zip(scenarios.MUTANTS, context.found)
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -10,7 +10,7 @@
 
 
 @behave.given("valid settings")
-def good(context) -> None:
+def valid_settings(context) -> None:
     context.values = {
         "name": "entry-1",
         "address": "10.0.0.1:7001",
@@ -37,7 +37,7 @@
 
 
 @behave.then("they are accepted")
-def taken(context) -> None:
+def accepted(context) -> None:
     assert not _faults(context), _faults(context)
 
 
