--- a/features/digests.feature
+++ b/features/digests.feature
@@ -4,12 +4,12 @@
 
   Scenario: Thousands of targets reach entries over slow links
     When a leader of 3000 targets is lost
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: A daemon that gets a digest in pieces knows what the leader knows
     When 300 random histories of targets are sent in pieces
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: Every guard of a digest in pieces that is switched off is noticed
     When each guard of a digest in pieces is switched off
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -3,7 +3,7 @@
 
   Scenario Outline: <scenario>: all daemons find a new leader
     When a large deployment runs <scenario>
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                   |
@@ -13,4 +13,4 @@
 
   Scenario: Every guard of a large fleet that is switched off is noticed
     When each guard of a large deployment is switched off
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/heard.feature
+++ b/features/heard.feature
@@ -4,7 +4,7 @@
 
   Scenario Outline: <scenario>: entries obey what targets report
     When targets report that they are leaving or paused in <scenario>
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                       |
@@ -24,4 +24,4 @@
 
   Scenario: Every disabled guard of what targets report is noticed
     When each guard of what targets report is disabled
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/holders.feature
+++ b/features/holders.feature
@@ -28,4 +28,4 @@
 
   Scenario: Every disabled guard of the right to order is noticed
     When each guard of the right to order is disabled
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -4,7 +4,7 @@
 
   Scenario Outline: The placer passes the scenario <scenario>
     When the placer scenario <scenario> runs
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                       |
@@ -25,8 +25,8 @@
 
   Scenario: Late and lost orders under random load never overfill an engine
     When 24 random loads are tried
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: Every disabled guard of the placer is noticed
     When each guard of the placer is disabled
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -3,7 +3,7 @@
 
   Scenario Outline: <scenario>: only fatal requests are quarantined
     When requests crash targets in <scenario>
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                         |
@@ -31,4 +31,4 @@
 
   Scenario: Every disabled guard against such requests is noticed
     When each guard against requests that crash targets is disabled
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/starts.feature
+++ b/features/starts.feature
@@ -5,7 +5,7 @@
 
   Scenario Outline: A record covers one start of its target: <scenario>
     When the restart scenario <scenario> runs
-    Then no promise is broken
+    Then no guarantee is violated
 
     Examples:
       | scenario                 |
@@ -17,12 +17,12 @@
 
   Scenario: Engines that restart under random load are never overfilled
     When 16 random loads with restarts are tried
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: A stale list never brings back an earlier start
     When 300 random histories of restarts are tried
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: Every disabled guard against obsolete starts is noticed
     When each guard against obsolete starts is disabled
-    Then each is noticed there
+    Then each disabled guard is detected
--- a/features/steps/growth.py
+++ b/features/steps/growth.py
@@ -1,4 +1,4 @@
-"""Steps of route tables, the bootstrap of the log, and retry budgets."""
+"""Steps of route tables, the replicated log and retry budgets."""
 
 import behave
 import hypothesis
@@ -64,7 +64,7 @@
     assert not faults, faults[:3]
 
 
-@behave.when("each guard of the log is switched off")
+@behave.when("each guard of the log is disabled")
 def log_mutants(context) -> None:
     context.mutants = growth.MUTANTS
     numbers = range(len(growth.MUTANTS))
--- a/features/steps/ledger.py
+++ b/features/steps/ledger.py
@@ -29,8 +29,8 @@
         context.found = pool.map(ledger.run_mutant, numbers, chunksize=1)
 
 
-@behave.then("each is noticed there")
-def each_noticed(context) -> None:
+@behave.then("each disabled guard is detected")
+def each_detected(context) -> None:
     missed = [
         mutant[0]
         for mutant, faults in zip(context.mutants, context.found)
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -246,7 +246,7 @@
     system.launch("entry-1")
 
 
-@behave.then("it ends with code 1 and says to remove the data folder")
+@behave.then("it exits with code 1 and says to remove the data folder")
 def says_what_to_do(context) -> None:
     run = context.run
     code = run.run_sync(run.system.wait_exit("entry-1", 20))
@@ -260,11 +260,14 @@
     context.run.system.kill("entry-2")
 
 
-async def _begin_long_answer(run: RunningSystem, avoid_owner: bool) -> dict:
+async def _begin_long_answer(
+    run: RunningSystem, skip_first_entry: bool
+) -> dict:
     """Start a long completion at a daemon that does not own the engine.
 
-    A daemon that does not know yet where the adapter is resident may choose
-    another engine than that of the previous request.
+    Retries if the engine turns out to be owned by the daemon. A daemon that
+    does not know yet where the adapter is resident may choose another engine
+    than that of the previous request.
     """
     client = run.client
     warm = await client.complete("adapter-0", "warm", 2)
@@ -274,7 +277,8 @@
         entry = next(
             name
             for name in run.running()
-            if name != owner and (not avoid_owner or name not in ("entry-0",))
+            if name != owner
+            and (not skip_first_entry or name not in ("entry-0",))
         )
         before = await _runs_by_engine(run)
         task = asyncio.ensure_future(
@@ -301,7 +305,8 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
     raise AssertionError(
-        f"Every run was on an engine that its entry owns: {owner}"
+        f"All {MAX_STARTS} runs were on engines that their entry owns, the "
+        f"last owner was {owner}"
     )
 
 
@@ -338,7 +343,7 @@
     return target
 
 
-@behave.given("a long answer on its way from an engine of another daemon")
+@behave.given("a long answer streaming from an engine of another daemon")
 def long_answer(context) -> None:
     context.long = context.run.run_sync(_begin_long_answer(context.run, False))
 
@@ -348,13 +353,15 @@
     context.run.system.kill(context.long["owner"])
 
 
-@behave.then("the answer is whole and exact or ends in a typed failure")
+@behave.then("the answer is complete and exact or ends with a typed error")
 def whole_or_typed(context) -> None:
     result = context.run.run_sync(context.long["task"])
     wanted = standins.expected_text("adapter-0@v1", "long", LONG_TOKENS)
     if result.code:
         assert result.code in ("truncated", "deadline"), result
-        assert wanted.startswith(result.text), "not a prefix"
+        assert wanted.startswith(
+            result.text
+        ), "the text is not a prefix of the expected one"
     else:
         assert result.text == wanted, "the text differs from the expected one"
 
@@ -442,7 +449,7 @@
     context.run.run_sync(context.load)
 
 
-@behave.when("an owner is frozen past its lease and wakes")
+@behave.when("an owner is frozen past its lease and resumes")
 def freeze_owner(context) -> None:
     run = context.run
     status = run.run_sync(run.status())
@@ -457,7 +464,7 @@
     _end_load(context)
 
 
-@behave.then("no engine took an order with an old fencing number")
+@behave.then("no engine executed an order with an old fencing token")
 def no_stale(context) -> None:
     run = context.run
     for name in run.system.engines:
@@ -472,13 +479,13 @@
         assert not run.run_sync(run.records(name))["evicted_while_serving"]
 
 
-@behave.then("every answer was exact or a typed refusal")
+@behave.then("every answer was exact or a typed error")
 def exact_or_typed(context) -> None:
     for wanted, result in context.run.results:
         assert result.code or result.text == wanted, result
 
 
-@behave.when("a daemon is told to stop as planned")
+@behave.when("a daemon is stopped gracefully")
 def planned_stop(context) -> None:
     run = context.run
     context.stopped = run.run_sync(run.leader())
@@ -552,7 +559,7 @@
     assert all(context.counts[key] == 1 for key in answered)
 
 
-@behave.when("a caller goes away in mid-stream")
+@behave.when("a caller disconnects in mid-stream")
 def caller_leaves(context) -> None:
     run = context.run
     context.long = run.run_sync(_begin_long_answer(run, False))
@@ -575,7 +582,7 @@
     run.run_sync(run.system.eventually(cancelled, "the run to be cancelled"))
 
 
-@behave.given("a long answer on its way from an engine behind a relay")
+@behave.given("a long answer streaming from an engine behind a relay")
 def behind_relay(context) -> None:
     run = context.run
 
@@ -619,12 +626,12 @@
     )
 
 
-@behave.when("the relay is cut in silence")
+@behave.when("the relay stops forwarding but keeps connections open")
 def cut_relay(context) -> None:
     context.relay.cut()
 
 
-@behave.then("the caller gets a typed failure within {seconds:d} seconds")
+@behave.then("the caller gets a typed error within {seconds:d} seconds")
 def typed_in_time(context, seconds: int) -> None:
     run = context.run
 
@@ -637,7 +644,7 @@
     assert wanted.startswith(result.text)
 
 
-@behave.then("curl gets a streamed answer that ends in its end mark")
+@behave.then("curl gets a streamed answer with its end mark")
 def by_curl(context) -> None:
     assert shutil.which("curl"), "curl is not installed"
     address = context.run.system.addresses[0]
@@ -801,11 +808,11 @@
     assert not wrong, wrong
 
 
-@behave.then("a half-open caller does not keep others from an answer")
-def half_open(context) -> None:
+@behave.then("a caller leaves its request incomplete")
+def leave_incomplete(context) -> None:
     host, _, port = context.run.system.addresses[0].rpartition(":")
 
-    async def open_half() -> None:
+    async def send_part() -> None:
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(
             b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
@@ -814,11 +821,11 @@
         await writer.drain()
         context.stack.callback(writer.transport.abort)
 
-    context.run.run_sync(open_half())
+    context.run.run_sync(send_part())
 
 
-@behave.then("a good request is answered")
-def good_answered(context) -> None:
+@behave.then("a valid request of another caller is answered")
+def valid_answered(context) -> None:
     result = context.run.run_sync(
         context.run.client.complete("adapter-0", "x", 3)
     )
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -21,12 +21,12 @@
     context.faults = scenarios.run_scenario(name)
 
 
-@behave.then("no promise is broken")
-def none_broken(context) -> None:
+@behave.then("no guarantee is violated")
+def no_violations(context) -> None:
     assert not context.faults, context.faults
 
 
-@behave.when("each guard is switched off in its scenario")
+@behave.when("each guard is disabled in its scenario")
 def run_mutants(context) -> None:
     with _pool() as pool:
         context.found = pool.map(
@@ -34,8 +34,8 @@
         )
 
 
-@behave.then("each is noticed")
-def each_noticed(context) -> None:
+@behave.then("each scenario detects its disabled guard")
+def each_detected(context) -> None:
     missed = [
         mutant.name
         for mutant, faults in zip(scenarios.MUTANTS, context.found)
@@ -61,8 +61,8 @@
 
 @behave.then("at least {count:d} cases reached their step")
 def reached(context, count: int) -> None:
-    fired = sum(result.fired for result in context.results)
-    assert fired >= count, fired
+    injected = sum(result.injected for result in context.results)
+    assert injected >= count, injected
 
 
 @behave.when("{count:d} random histories of the {machine} are tried")
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -9,8 +9,8 @@
 behave.use_step_matcher("parse")
 
 
-@behave.given("good settings")
-def good(context) -> None:
+@behave.given("valid settings")
+def valid_settings(context) -> None:
     context.values = {
         "name": "entry-1",
         "address": "10.0.0.1:7001",
@@ -36,8 +36,8 @@
     return []
 
 
-@behave.then("they are taken")
-def taken(context) -> None:
+@behave.then("they are accepted")
+def accepted(context) -> None:
     assert not _faults(context), _faults(context)
 
 
