--- a/features/mutants.py
+++ b/features/mutants.py
@@ -20,15 +20,15 @@
     logging.set_verbosity(logging.FATAL)
     with multiprocessing.Pool(_JOBS.value) as pool:
         found = pool.map(scenarios.run_mutant, scenarios.MUTANTS, chunksize=1)
-    print(f"{'promise':8} {'guard disabled':22} {'scenario':28} result")
+    print(f"{'guarantee':9} {'guard disabled':22} {'scenario':28} result")
     for mutant, faults in zip(scenarios.MUTANTS, found):
         result = "caught" if faults else "NOT CAUGHT"
         print(
-            f"{mutant.promise:<8} {mutant.name:22} {mutant.scenario:28} "
+            f"{mutant.guarantee:<9} {mutant.name:22} {mutant.scenario:28} "
             f"{result}"
         )
         if faults:
-            print(f"         {faults[0][:110]}")
+            print(f"          {faults[0][:110]}")
     caught = sum(bool(faults) for faults in found)
     summary = {"mutants": len(found), "caught": caught}
     print(json.dumps(summary))
