--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -263,7 +263,7 @@
         self.daemon = daemon
         self.digest = _digest.Digest()
         self.leader = leader
-        self.ends = quarantine.Observations(clock)
+        self.observations = quarantine.Observations(clock)
         self.notices = _target_notices.TargetNotices()
         self._transport = transport
         self._timing = timing
@@ -433,8 +433,8 @@
     async def _send_heartbeat(self) -> None:
         assert self._participant is not None
         self._sequence += 1
-        self.ends.forget(self.view.blocked_request_ids)
-        last_end, ends = self.ends.pending(self.digest.term)
+        self.observations.forget(self.view.blocked_request_ids)
+        last_end, ends = self.observations.pending(self.digest.term)
         request = _messages.Heartbeat(
             self.daemon,
             self._sequence,
@@ -455,8 +455,8 @@
         answered_at = self._clock.now()
         self.leader.found(reply.leader)
         self.leader.learn(reply.replicas)
-        self.ends.acknowledge(reply.term, last_end)
-        self.ends.take_suspects(reply.suspects)
+        self.observations.acknowledge(reply.term, last_end)
+        self.observations.take_suspects(reply.suspects)
         if await self._catch_up(reply):
             self._log_renewal(sent_at, answered_at)
             self._renew(sent_at)
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -397,15 +397,15 @@
 
         A served run is reported only while there are suspects.
         """
-        ends = self._session.ends
-        if end is quarantine.RunEnd.SERVED and not ends.any_suspect:
+        observations = self._session.observations
+        if end is quarantine.RunEnd.SERVED and not observations.any_suspect:
             return
         request = stream.job.request
         start = f"{self.info.id}/{stream.incarnation}"
         run = quarantine.Run(
             _identity(request), request.payer, self.info.pool, start
         )
-        ends.note(run, end)
+        observations.note(run, end)
         self._session.kick()
 
     def _abandon_reason(self, job: _jobs.Job) -> wire.ServingError | None:
--- a/libs/routing/src/bergamotsail/routing/_fatal.py
+++ b/libs/routing/src/bergamotsail/routing/_fatal.py
@@ -108,8 +108,10 @@
         Raises:
             OtherCopyError: another copy of the request is still running.
         """
-        ends = self._session.ends
-        if not ends.any_suspect or not ends.suspected(tracked.identity):
+        observations = self._session.observations
+        if not observations.any_suspect or not observations.suspected(
+            tracked.identity
+        ):
             yield
             return
         if not await self._acquire_exclusive(
@@ -174,8 +176,10 @@
 
     def served(self, tracked: TrackedRequest, target: str) -> None:
         """Report a complete answer, which clears a suspected request."""
-        ends = self._session.ends
-        if ends.any_suspect and ends.suspected(tracked.identity):
+        observations = self._session.observations
+        if observations.any_suspect and observations.suspected(
+            tracked.identity
+        ):
             self._report_end(tracked, target, quarantine.RunEnd.SERVED)
 
     def _report_end(
@@ -185,6 +189,6 @@
         run = quarantine.Run(
             tracked.identity, tracked.member, tracked.pool, target
         )
-        self._session.ends.note(run, end)
+        self._session.observations.note(run, end)
         tracked.end_reported = True
         self._session.kick()
