--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -176,7 +176,7 @@
         self._moved.set()
         self._moved = asyncio.Event()
 
-    def learn(self, addresses: collections.abc.Sequence[str]) -> None:
+    def add_seeds(self, addresses: collections.abc.Sequence[str]) -> None:
         """Add replicas to the seeds, since the first seeds may disappear."""
         known = [a for a in self._seeds if a not in addresses]
         self._seeds = [*addresses, *known][:MAX_SEEDS]
@@ -454,7 +454,7 @@
         sent_at = self._sent_at
         answered_at = self._clock.now()
         self.leader.found(reply.leader)
-        self.leader.learn(reply.replicas)
+        self.leader.add_seeds(reply.replicas)
         self.observations.acknowledge(reply.term, last_end)
         self.observations.take_suspects(reply.suspects)
         if await self._catch_up(reply):
