--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -691,7 +691,7 @@
     endpoint = daemon.PeerEndpoint(server, "token", lag)
     faults = []
     for late_s, refused in ((0.0, ()), (0.2, ("place",)), (0.5, None)):
-        lag.now_s = late_s
+        lag.latest_s = late_s
         found = []
         for name in ("place", "release", "vote"):
             try:
--- a/features/support/sight.py
+++ b/features/support/sight.py
@@ -172,7 +172,7 @@
     call = wire.Call("ask", dict, dict)
     server.serve(call, dict, shed_after_s=0.1)
     lag = daemon.LoopLag()
-    lag.now_s = 0.2
+    lag.latest_s = 0.2
     endpoint = daemon.PeerEndpoint(server, "token", lag, metrics)
     began_at = time.monotonic()
     with observe.EventLog("r1", written):
--- a/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
+++ b/libs/daemon/src/bergamotsail/daemon/_peer_endpoint.py
@@ -38,11 +38,11 @@
     """Measures the lag of the event loop; an async context manager.
 
     The lag is how much later than requested the loop wakes a sleeping task.
-    ``now_s`` is the latest sample.
+    ``latest_s`` is the latest sample.
     """
 
     def __init__(self, clock: wire.Clock = wire.LoopClock()) -> None:
-        self.now_s = 0.0
+        self.latest_s = 0.0
         self._due_at = float("inf")
         self._samples: collections.deque[tuple[float, float]]
         self._samples = collections.deque(maxlen=MAX_LAG_SAMPLES)
@@ -78,8 +78,8 @@
             self._due_at = self._clock.now() + LAG_SAMPLE_INTERVAL_S
             await self._clock.sleep(LAG_SAMPLE_INTERVAL_S)
             now = self._clock.now()
-            self.now_s = max(0.0, now - self._due_at)
-            self._samples.append((now, self.now_s))
+            self.latest_s = max(0.0, now - self._due_at)
+            self._samples.append((now, self.latest_s))
 
 
 class PeerEndpoint:
@@ -154,11 +154,11 @@
 
     def _check_lag(self, name: str) -> None:
         max_lag_s = self._server.shed_after_s.get(name)
-        if max_lag_s is not None and self._lag.now_s > max_lag_s:
+        if max_lag_s is not None and self._lag.latest_s > max_lag_s:
             self._record_shed(name)
             raise wire.LoadShedError(
                 "This daemon is overloaded: its event loop lags. Retry.",
-                retry_after_s=self._lag.now_s,
+                retry_after_s=self._lag.latest_s,
             )
 
     def _record_shed(self, name: str) -> None:
@@ -177,7 +177,7 @@
             "shed",
             call=name,
             count=count,
-            lag_s=round(self._lag.now_s, 4),
+            lag_s=round(self._lag.latest_s, 4),
         )
 
 
