--- a/libs/wire/src/bergamotsail/wire/_curl.py
+++ b/libs/wire/src/bergamotsail/wire/_curl.py
@@ -56,7 +56,8 @@
             from the URL when None.
         request_headers: headers in order; those of the request are used
             when None.
-        keep: whether to reuse an open connection and keep it open for reuse.
+        keep_alive: whether to reuse an open connection and keep it open
+            for reuse.
     """
 
     def __init__(
@@ -65,14 +66,14 @@
         request: _http.HttpRequest,
         request_target: str | None = None,
         request_headers: collections.abc.Sequence[Header] | None = None,
-        keep: bool = False,
+        keep_alive: bool = False,
     ) -> None:
         self.sent = False
         self._client = client
         self._request = request
         self._request_target = request_target
         self._request_headers = request_headers
-        self._keep = keep
+        self._keep_alive = keep_alive
         self._curl: pycurl.Curl | None = None
         self._status = 0
         self._reply_headers: list[Header] = []
@@ -149,8 +150,8 @@
         if request.timeout_s > 0:
             timeout_ms = int(request.timeout_s * MS_PER_S)
             curl.setopt(pycurl.TIMEOUT_MS, max(timeout_ms, 1))
-        curl.setopt(pycurl.FRESH_CONNECT, 0 if self._keep else 1)
-        curl.setopt(pycurl.FORBID_REUSE, 0 if self._keep else 1)
+        curl.setopt(pycurl.FRESH_CONNECT, 0 if self._keep_alive else 1)
+        curl.setopt(pycurl.FORBID_REUSE, 0 if self._keep_alive else 1)
         curl.setopt(pycurl.MAXAGE_CONN, MAX_IDLE_S)
         curl.setopt(pycurl.TCP_KEEPALIVE, 1)
         curl.setopt(pycurl.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
@@ -300,14 +301,16 @@
         request: _http.HttpRequest,
         request_target: str | None = None,
         request_headers: collections.abc.Sequence[Header] | None = None,
-        keep: bool = False,
+        keep_alive: bool = False,
     ) -> Exchange:
         """Return an exchange; entering it sends the request."""
-        return Exchange(self, request, request_target, request_headers, keep)
+        return Exchange(
+            self, request, request_target, request_headers, keep_alive
+        )
 
     async def fetch(self, request: _http.HttpRequest) -> _http.HttpReply:
         """Send a request and return the complete reply, of any status."""
-        async with self.open(request, keep=not request.once) as exchange:
+        async with self.open(request, keep_alive=not request.once) as exchange:
             head = await exchange.head()
             body = await exchange.body()
         return _http.HttpReply(head.status, dict(head.headers), body)
@@ -317,7 +320,7 @@
     ) -> collections.abc.AsyncIterator[bytes]:
         """Send a request and yield the lines of the reply's body."""
         rest = b""
-        async with self.open(request, keep=not request.once) as exchange:
+        async with self.open(request, keep_alive=not request.once) as exchange:
             await exchange.head()
             async for piece in exchange.pieces():
                 *lines, rest = (rest + piece).split(b"\n")
