--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -20,7 +20,7 @@
 from bergamotsail import observe
 from bergamotsail import placement
 from bergamotsail.placement import _decisions
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 from bergamotsail.placement import _pace
 from bergamotsail.placement import _place_policy
 from bergamotsail.placement import _place_settings
@@ -247,7 +247,7 @@
         self.weighed = 0
         pool = _pace.PoolPace()
         self.by_id = {
-            f"e{n}": _holding.EngineRecord(
+            f"e{n}": _engine_record.EngineRecord(
                 targets.Instance(f"e{n}", POOL, "10.0.0.1:1", "a"),
                 SPEC,
                 0,
@@ -266,7 +266,7 @@
 
     def hold(self, target: str, adapter: str, **fields: object) -> None:
         """Make an adapter resident at an engine."""
-        slot = _holding.Slot(1, _holding.SlotState.READY, **fields)
+        slot = _engine_record.Slot(1, _engine_record.SlotState.READY, **fields)
         self.by_id[target].slot_by_name[(MODEL, adapter)] = slot
         self.by_id[target].remember_copy((MODEL, adapter))
 
@@ -286,7 +286,7 @@
         decision = self.decider.decide(self.demand(adapter), names, self.now)
         if isinstance(decision, _decisions.Run):
             self._number += 1
-            grant = _holding.Grant(
+            grant = _engine_record.Grant(
                 "b", str(self._number), (MODEL, adapter), 3_100, self.now
             )
             self.by_id[decision.target].add(grant, (), 3_000)
@@ -332,8 +332,8 @@
 def copy_is_loading() -> list[str]:
     """A request waits for a copy that is loading; no second one is loaded."""
     engines = Engines(3)
-    slot = _holding.Slot(
-        1, _holding.SlotState.LOADING, ready_at=engines.now + 0.2
+    slot = _engine_record.Slot(
+        1, _engine_record.SlotState.LOADING, ready_at=engines.now + 0.2
     )
     engines.by_id["e1"].slot_by_name[(MODEL, "a1")] = slot
     decision = engines.decide("a1")
--- a/libs/placement/src/bergamotsail/placement/__init__.py
+++ b/libs/placement/src/bergamotsail/placement/__init__.py
@@ -8,7 +8,7 @@
 
 from bergamotsail.placement import _counter
 from bergamotsail.placement import _engine_orders
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 from bergamotsail.placement import _leadership
 from bergamotsail.placement import _place_messages
 from bergamotsail.placement import _place_policy
@@ -21,7 +21,7 @@
 
 EngineOrders = _engine_orders.EngineOrders
 StoreLoadLock = _engine_orders.StoreLoadLock
-EngineRecord = _holding.EngineRecord
+EngineRecord = _engine_record.EngineRecord
 CopyAffinityPolicy = _place_policy.CopyAffinityPolicy
 CopyRegistry = _placer.CopyRegistry
 Leadership = _leadership.Leadership
--- a/libs/placement/src/bergamotsail/placement/_decisions.py
+++ b/libs/placement/src/bergamotsail/placement/_decisions.py
@@ -7,11 +7,11 @@
 import collections.abc
 import dataclasses
 
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 from bergamotsail.placement import _place_policy
 from bergamotsail.placement import _place_settings
 
-State = _holding.SlotState
+State = _engine_record.SlotState
 
 # Concurrent loads that an engine accepts according to its protocol; it
 # refuses further ones.
@@ -46,7 +46,7 @@
     """Load the adapter on a target, evicting *victim* first if not None."""
 
     target: str
-    victim: _holding.AdapterName | None
+    victim: _engine_record.AdapterName | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 
 Decision = Run | Load | Wait
 PlacementDemand = _place_policy.PlacementDemand
-EngineRecord = _holding.EngineRecord
+EngineRecord = _engine_record.EngineRecord
 
 
 class Decider:
@@ -80,7 +80,7 @@
         policy: _place_policy.PlacePolicy,
         settings: _place_settings.PlaceSettings,
         is_current: collections.abc.Callable[
-            [_holding.AdapterName, _holding.Slot, float], bool
+            [_engine_record.AdapterName, _engine_record.Slot, float], bool
         ],
     ) -> None:
         self._record_by_target = record_by_target
@@ -92,7 +92,7 @@
     def decide(
         self,
         demand: PlacementDemand,
-        wanted: collections.abc.Container[_holding.AdapterName],
+        wanted: collections.abc.Container[_engine_record.AdapterName],
         now: float,
         may_load: bool = True,
     ) -> Decision:
@@ -151,8 +151,8 @@
     def _additional_copy(
         self,
         demand: PlacementDemand,
-        resident: list[tuple[EngineRecord, _holding.Slot]],
-        wanted: collections.abc.Container[_holding.AdapterName],
+        resident: list[tuple[EngineRecord, _engine_record.Slot]],
+        wanted: collections.abc.Container[_engine_record.AdapterName],
         now: float,
         cost_s: float,
     ) -> Decision | None:
@@ -182,7 +182,7 @@
     def _load(
         self,
         demand: PlacementDemand,
-        wanted: collections.abc.Container[_holding.AdapterName],
+        wanted: collections.abc.Container[_engine_record.AdapterName],
         now: float,
         limit_s: float,
     ) -> Load | None:
@@ -192,7 +192,7 @@
         or its cost exceeds *limit_s*.
         """
         best: tuple[float, int, EngineRecord] | None = None
-        best_slot: tuple[_holding.AdapterName | None] | None = None
+        best_slot: tuple[_engine_record.AdapterName | None] | None = None
         for number, record in enumerate(self._load_candidates(demand, now)):
             if demand.name in record.slot_by_name or not record.can_take(
                 demand
@@ -251,9 +251,9 @@
     def _find_slot(
         self,
         record: EngineRecord,
-        wanted: collections.abc.Container[_holding.AdapterName],
+        wanted: collections.abc.Container[_engine_record.AdapterName],
         now: float,
-    ) -> tuple[_holding.AdapterName | None] | None:
+    ) -> tuple[_engine_record.AdapterName | None] | None:
         """Return the adapter that a load would evict, in a tuple.
 
         ``(None,)`` if a slot is free, None if no load can start now.
--- a/libs/placement/src/bergamotsail/placement/_engine_orders.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_orders.py
@@ -10,7 +10,7 @@
 
 from bergamotsail import catalogue
 from bergamotsail import observe
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 from bergamotsail import targets
 from bergamotsail import wire
 
@@ -33,7 +33,7 @@
 # the term takes the next one.
 FENCES_PER_TERM = 1_000
 
-State = _holding.SlotState
+State = _engine_record.SlotState
 Outcome = targets.OrderOutcome
 
 
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        record: _holding.EngineRecord,
+        record: _engine_record.EngineRecord,
         spec: catalogue.EngineSpec,
         engine: targets.AdapterEngine,
         term: int,
@@ -272,9 +272,9 @@
 
     def start_load(
         self,
-        name: _holding.AdapterName,
+        name: _engine_record.AdapterName,
         version: int | None,
-        victim: _holding.AdapterName | None,
+        victim: _engine_record.AdapterName | None,
         now: float,
     ) -> None:
         """Start to load an adapter, evicting *victim* first if not None."""
@@ -284,7 +284,9 @@
         if victim is not None:
             del record.slot_by_name[victim]
         load_s = COPY_LOAD_S if record.has_copy(name) else STORE_LOAD_S
-        slot = _holding.Slot(version, State.LOADING, uses, now, now + load_s)
+        slot = _engine_record.Slot(
+            version, State.LOADING, uses, now, now + load_s
+        )
         record.slot_by_name[name] = slot
         self._log(
             "load",
@@ -309,9 +311,9 @@
 
     async def _load(
         self,
-        name: _holding.AdapterName,
-        slot: _holding.Slot,
-        victim: _holding.AdapterName | None,
+        name: _engine_record.AdapterName,
+        slot: _engine_record.Slot,
+        victim: _engine_record.AdapterName | None,
     ) -> None:
         async with self._lock:
             # While this task waited for the lock, a reconciliation may have
@@ -334,7 +336,7 @@
         await self._confirm(name, slot)
 
     def _still_planned(
-        self, name: _holding.AdapterName, slot: _holding.Slot
+        self, name: _engine_record.AdapterName, slot: _engine_record.Slot
     ) -> bool:
         holds = self.record.slot_by_name.get(name) is slot
         return self.record.known and holds
@@ -351,7 +353,7 @@
         return False
 
     async def _confirm(
-        self, name: _holding.AdapterName, slot: _holding.Slot
+        self, name: _engine_record.AdapterName, slot: _engine_record.Slot
     ) -> None:
         """Repeat a load order until the engine answers that it is loaded."""
         await self._clock.sleep(max(0.0, slot.ready_at - self._clock.now()))
@@ -388,7 +390,7 @@
 
     def _order(
         self,
-        name: _holding.AdapterName,
+        name: _engine_record.AdapterName,
         version: int | None,
         expected: int | None,
     ) -> targets.EngineOrder:
--- a/libs/placement/src/bergamotsail/placement/_place_policy.py
+++ b/libs/placement/src/bergamotsail/placement/_place_policy.py
@@ -9,7 +9,7 @@
 
 import mmh3
 
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 
 # Factor by which the time already waited raises the cost of a full engine.
 WAITING_WEIGHT = 1.0
@@ -29,7 +29,7 @@
     """
 
     pool: str
-    name: _holding.AdapterName
+    name: _engine_record.AdapterName
     tokens: int
     avoid: tuple[str, ...]
     parts: tuple[tuple[str, int], ...]
@@ -44,13 +44,15 @@
     """Computes the cost of serving a request on an engine."""
 
     @abc.abstractmethod
-    def busy_cost_s(self, record: _holding.EngineRecord, now: float) -> float:
+    def busy_cost_s(
+        self, record: _engine_record.EngineRecord, now: float
+    ) -> float:
         """Return the load of an engine, independent of any request."""
 
     @abc.abstractmethod
     def run_cost_s(
         self,
-        record: _holding.EngineRecord,
+        record: _engine_record.EngineRecord,
         demand: PlacementDemand,
         now: float,
     ) -> float:
@@ -59,7 +61,7 @@
     @abc.abstractmethod
     def load_cost_s(
         self,
-        record: _holding.EngineRecord,
+        record: _engine_record.EngineRecord,
         demand: PlacementDemand,
         now: float,
         can_start: bool,
@@ -99,13 +101,15 @@
     fault_s: float = 0.3
     hash_rank_s: float = 0.01
 
-    def busy_cost_s(self, record: _holding.EngineRecord, now: float) -> float:
+    def busy_cost_s(
+        self, record: _engine_record.EngineRecord, now: float
+    ) -> float:
         backlog_s = record.reading.backlog_s(now)
         return backlog_s + self.fault_s * record.faults(now)
 
     def run_cost_s(
         self,
-        record: _holding.EngineRecord,
+        record: _engine_record.EngineRecord,
         demand: PlacementDemand,
         now: float,
     ) -> float:
@@ -122,7 +126,7 @@
 
     def load_cost_s(
         self,
-        record: _holding.EngineRecord,
+        record: _engine_record.EngineRecord,
         demand: PlacementDemand,
         now: float,
         can_start: bool,
@@ -144,7 +148,7 @@
         return cost_s + self.slot_wait_s + waited_s
 
 
-def _rank(target: str, name: _holding.AdapterName) -> float:
+def _rank(target: str, name: _engine_record.AdapterName) -> float:
     """Return the hash rank of a target for an adapter, from 0 up to 10."""
     text = f"{name[0]}/{name[1]}@{target}"
     return (mmh3.hash(text, signed=False) % 1000) / 100
--- a/libs/placement/src/bergamotsail/placement/_placer.py
+++ b/libs/placement/src/bergamotsail/placement/_placer.py
@@ -19,7 +19,7 @@
 from bergamotsail.placement import _counter
 from bergamotsail.placement import _decisions
 from bergamotsail.placement import _engine_orders
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 from bergamotsail.placement import _leadership
 from bergamotsail.placement import _pace
 from bergamotsail.placement import _place_messages
@@ -61,7 +61,7 @@
 OLD_VERSION_S = 1.0
 RETRY_AFTER_S = 0.5
 
-State = _holding.SlotState
+State = _engine_record.SlotState
 Outcome = _place_messages.UseOutcome
 
 
@@ -127,7 +127,7 @@
         self._term = -1
         self._term_at = 0.0
         self._orders_by_target: dict[str, _engine_orders.EngineOrders] = {}
-        self._record_by_target: dict[str, _holding.EngineRecord] = {}
+        self._record_by_target: dict[str, _engine_record.EngineRecord] = {}
         # Targets of running requests, by the daemon's boot id and request.
         self._target_by_request: dict[str, dict[str, str]] = {}
         self._decider = _decisions.Decider(
@@ -136,7 +136,7 @@
         self._waiters: list[_waiting.Waiter] = []
         # Newest version of each adapter and when it was first seen.
         self._newest_version_by_name: dict[
-            _holding.AdapterName, tuple[int, float]
+            _engine_record.AdapterName, tuple[int, float]
         ] = {}
         self._store = _engine_orders.StoreLoadLock()
         self._background = wire.BackgroundTasks()
@@ -153,9 +153,9 @@
         self._schedule_timer: asyncio.TimerHandle | None = None
         self._schedule_took_s = 0.0
         # Adapters whose requests wait without a load in progress.
-        self._blocked: set[_holding.AdapterName] = set()
+        self._blocked: set[_engine_record.AdapterName] = set()
         # Adapters that the current scheduling pass has still to decide for.
-        self._names_left: collections.deque[_holding.AdapterName] = (
+        self._names_left: collections.deque[_engine_record.AdapterName] = (
             collections.deque()
         )
 
@@ -359,7 +359,7 @@
                 continue
             name = (use.model, use.adapter)
             record.restore(
-                _holding.Grant(boot, use.request, name, use.tokens, now)
+                _engine_record.Grant(boot, use.request, name, use.tokens, now)
             )
             self._move_request(boot, use.request, use.target, now)
 
@@ -384,7 +384,7 @@
 
     def _release(
         self, boot: str, request: str, target: str, now: float
-    ) -> _holding.Grant | None:
+    ) -> _engine_record.Grant | None:
         """Release a request's grant and return it, if there was one."""
         self._requests_of(boot).pop(request, None)
         record = self._record_by_target.get(target)
@@ -435,7 +435,7 @@
         )
         name = targets.Incarnation.of(info.id).name
         orders = _engine_orders.EngineOrders(
-            _holding.EngineRecord(
+            _engine_record.EngineRecord(
                 instance,
                 spec,
                 self._term_at + USES_REPORTED_S,
@@ -549,7 +549,9 @@
             if names:
                 yield catalogue.Copies(target, names)
 
-    def _usable(self, waiter: _waiting.Waiter) -> list[_holding.EngineRecord]:
+    def _usable(
+        self, waiter: _waiting.Waiter
+    ) -> list[_engine_record.EngineRecord]:
         """Return the engines that have capacity for a request.
 
         They need not hold its adapter.
@@ -590,7 +592,9 @@
         if not self._names_left:
             self._names_left.extend(self._ranked_names(now))
             self._blocked.intersection_update(self._names_left)
-        waiters_by_name: dict[_holding.AdapterName, list[_waiting.Waiter]] = {}
+        waiters_by_name: dict[
+            _engine_record.AdapterName, list[_waiting.Waiter]
+        ] = {}
         for waiter in self._waiters:
             waiters_by_name.setdefault(waiter.name, []).append(waiter)
         wanted = set(waiters_by_name)
@@ -607,7 +611,7 @@
 
     def _ranked_names(
         self, now: float
-    ) -> collections.abc.Iterable[_holding.AdapterName]:
+    ) -> collections.abc.Iterable[_engine_record.AdapterName]:
         """Return the adapters of waiting requests, highest rank first."""
         pace_by_pool = {
             pool: paces.pace() for pool, paces in self._pace_by_pool.items()
@@ -622,7 +626,7 @@
     def _decide_adapter(
         self,
         waiters: list[_waiting.Waiter],
-        wanted: set[_holding.AdapterName],
+        wanted: set[_engine_record.AdapterName],
         now: float,
         may_load: bool,
     ) -> None:
@@ -657,7 +661,7 @@
     def _decide_one(
         self,
         waiter: _waiting.Waiter,
-        wanted: collections.abc.Container[_holding.AdapterName],
+        wanted: collections.abc.Container[_engine_record.AdapterName],
         now: float,
         may_load: bool,
     ) -> bool:
@@ -678,7 +682,7 @@
     def _start_load(
         self,
         decision: _decisions.Load,
-        name: _holding.AdapterName,
+        name: _engine_record.AdapterName,
         now: float,
     ) -> None:
         orders = self._orders_by_target[decision.target]
@@ -700,7 +704,7 @@
     def _grant(self, waiter: _waiting.Waiter, target: str, now: float) -> None:
         record = self._record_by_target[target]
         request = waiter.request
-        grant = _holding.Grant(
+        grant = _engine_record.Grant(
             request.boot, request.request, waiter.name, waiter.tokens, now
         )
         self._uses.add("/".join(waiter.name), now)
@@ -737,15 +741,21 @@
         )
 
     def _is_current(
-        self, name: _holding.AdapterName, slot: _holding.Slot, now: float
+        self,
+        name: _engine_record.AdapterName,
+        slot: _engine_record.Slot,
+        now: float,
     ) -> bool:
         return not self._too_old(name, slot, now)
 
-    def _wanted_version(self, name: _holding.AdapterName) -> int | None:
+    def _wanted_version(self, name: _engine_record.AdapterName) -> int | None:
         return self._view().named_version(*name)
 
     def _too_old(
-        self, name: _holding.AdapterName, slot: _holding.Slot, now: float
+        self,
+        name: _engine_record.AdapterName,
+        slot: _engine_record.Slot,
+        now: float,
     ) -> bool:
         """Whether a slot's version is too old to start requests on.
 
--- a/libs/placement/src/bergamotsail/placement/_waiting.py
+++ b/libs/placement/src/bergamotsail/placement/_waiting.py
@@ -3,7 +3,7 @@
 import asyncio
 import dataclasses
 
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 from bergamotsail.placement import _pace
 from bergamotsail.placement import _place_messages
 from bergamotsail.placement import _place_policy
@@ -26,7 +26,7 @@
     done: asyncio.Future
 
     @property
-    def name(self) -> _holding.AdapterName:
+    def name(self) -> _engine_record.AdapterName:
         """Base model and adapter that the request needs."""
         return (self.request.model, self.request.adapter)
 
