--- a/features/support/fatal.py
+++ b/features/support/fatal.py
@@ -37,7 +37,7 @@
     request = routing.Completion(
         f"fatal-{number}", "adapter-0", targets.Prompt(prompt, 4), 10.0
     )
-    parts = at.daemon.entry.complete(
+    parts = at.daemon.completions.complete(
         routing.Caller(world_lib.MEMBERS[0]), request
     )
     try:
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -741,7 +741,7 @@
     """Accept any chunk, whatever run, adapter or position it belongs to."""
     with (
         patch(placement.EngineOwner, "_accept", _accept_any_chunk),
-        patch(routing.Entry, "_part", _pass_any_chunk),
+        patch(routing.CompletionRouter, "_part", _pass_any_chunk),
     ):
         yield
 
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -525,7 +525,9 @@
         leave_after: int | None,
     ) -> None:
         entry.daemon.check_accepting()
-        parts = entry.daemon.entry.complete(routing.Caller(member), request)
+        parts = entry.daemon.completions.complete(
+            routing.Caller(member), request
+        )
         async with contextlib.aclosing(parts):
             async for part in parts:
                 await entry.host.awake.wait()
--- a/libs/bench/src/bergamotsail/bench/experiment.py
+++ b/libs/bench/src/bergamotsail/bench/experiment.py
@@ -124,7 +124,7 @@
     code = ""
     await asyncio.sleep(client_s)
     try:
-        parts = daemon.entry.complete(routing.Caller(member), completion)
+        parts = daemon.completions.complete(routing.Caller(member), completion)
         async with contextlib.aclosing(parts):
             async for _ in parts:
                 if first is None:
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -201,7 +201,7 @@
         self.session.attach(_Participant(self.admission, self.owners))
         if self._coordinator is not None:
             self._coordinator.attach(self.session.digest)
-        self.entry = routing.Entry(
+        self.completions = routing.CompletionRouter(
             self.session,
             self.admission,
             self.owners,
--- a/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
+++ b/libs/daemon/src/bergamotsail/daemon/_caller_handlers.py
@@ -145,7 +145,7 @@
             )
         adapter = ""
         if model:
-            adapter = self.daemon.entry.resolve(caller, model)
+            adapter = self.daemon.completions.resolve(caller, model)
         lookup = self.daemon.address_lookup
         self.send_json(lookup.look_up(model or service, adapter))
 
@@ -182,7 +182,7 @@
         body = wire.decode(self.body, CompletionBody)
         completion = self._make_completion(caller, body, chat)
         self.set_header("X-Request-Id", completion.request)
-        parts = self.daemon.entry.complete(caller, completion)
+        parts = self.daemon.completions.complete(caller, completion)
         async with contextlib.aclosing(parts):
             if body.stream:
                 await self._send_stream(parts, completion.request, chat)
--- a/libs/routing/src/bergamotsail/routing/__init__.py
+++ b/libs/routing/src/bergamotsail/routing/__init__.py
@@ -1,8 +1,8 @@
 """Routes callers' requests to the targets that answer them.
 
-:class:`Entry` serves model requests and :class:`ServiceRouter` calls of
-plain services, both subject to :class:`Admission`. :class:`Forwarder` serves
-requests according to the route table.
+:class:`CompletionRouter` serves model requests and :class:`ServiceRouter`
+calls of plain services, both subject to :class:`Admission`.
+:class:`Forwarder` serves requests according to the route table.
 """
 
 from bergamotsail.routing import _forward
@@ -39,10 +39,10 @@
             "Routing",
             "make_routing",
         ),
-        "_entry": (
+        "_completions": (
             "Caller",
             "Completion",
-            "Entry",
+            "CompletionRouter",
             "AnswerPart",
             "ResumePoint",
             "parse_resume",
--- a/libs/routing/src/bergamotsail/routing/_entry.py
+++ b/libs/routing/src/bergamotsail/routing/_completions.py
@@ -105,7 +105,7 @@
     return ResumePoint(*fields[:4], int(fields[4]))
 
 
-class Entry:
+class CompletionRouter:
     """Serves model requests on this daemon."""
 
     def __init__(
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -20,7 +20,7 @@
 from bergamotsail import observe
 from bergamotsail import quarantine
 from bergamotsail.routing import _admission
-from bergamotsail.routing import _entry
+from bergamotsail.routing import _completions
 from bergamotsail.routing import _fatal
 from bergamotsail.routing import _keys
 from bergamotsail.routing import _retries
@@ -114,7 +114,7 @@
         self._detached: set[asyncio.Task] = set()
 
     async def call(
-        self, caller: _entry.Caller, call: ServiceCall
+        self, caller: _completions.Caller, call: ServiceCall
     ) -> ServiceResult:
         """Forward a call and return its answer.
 
@@ -155,7 +155,9 @@
         while self._detached:
             await asyncio.wait(list(self._detached))
 
-    def _resolve(self, caller: _entry.Caller, service: str) -> catalogue.Entry:
+    def _resolve(
+        self, caller: _completions.Caller, service: str
+    ) -> catalogue.Entry:
         entry = self._session.view.service_by_id.get(service)
         allowed = entry is not None and caller.member in (
             entry.value.owner,
@@ -194,7 +196,7 @@
 
     async def _call_idempotent(
         self,
-        caller: _entry.Caller,
+        caller: _completions.Caller,
         call: ServiceCall,
         service: catalogue.Service,
         deadline: float,
@@ -329,7 +331,7 @@
 
     async def _call_once(
         self,
-        caller: _entry.Caller,
+        caller: _completions.Caller,
         call: ServiceCall,
         service: catalogue.Service,
         key_time_ms: int,
@@ -502,7 +504,7 @@
 
 
 def _tracked(
-    caller: _entry.Caller, call: ServiceCall, service: catalogue.Service
+    caller: _completions.Caller, call: ServiceCall, service: catalogue.Service
 ) -> _fatal.TrackedRequest:
     """Return the tracking state of a call.
 
