--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -487,7 +487,7 @@
             for _ in range(83)
         ]
         asking = [
-            asyncio.create_task(placements.take(_place_request(number)))
+            asyncio.create_task(placements.acquire(_place_request(number)))
             for placements in daemons
             for number in range(8)
         ]
@@ -529,7 +529,7 @@
                 _place_request(number), patience_s=3.0, objective_s=1.0
             )
             try:
-                await placements.take(request)
+                await placements.acquire(request)
             except wire.OverloadError as error:
                 held_s = loop.time() - began_at - came_at
                 refusals.append((came_at, held_s, error.retry_after_s))
@@ -602,12 +602,12 @@
             for number in range(20)
         ]
         found = await asyncio.gather(
-            *map(placements.take, requests), return_exceptions=True
+            *map(placements.acquire, requests), return_exceptions=True
         )
         took_s = loop.time() - asked_at
         absent = dataclasses.replace(_place_request(20), adapter="a2")
         refused = await asyncio.gather(
-            placements.take(absent), return_exceptions=True
+            placements.acquire(absent), return_exceptions=True
         )
         if took_s > 0.3:
             refused.append(f"the placements took {took_s:.2f} s")
@@ -663,7 +663,7 @@
         ]
         on_time = [_place_request(n) for n in range(10, 14)]
         asking = [
-            asyncio.create_task(placements.take(request))
+            asyncio.create_task(placements.acquire(request))
             for request in (*late, *on_time)
         ]
         await asyncio.gather(*asking, return_exceptions=True)
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -222,7 +222,7 @@
         )
         ended = "placed"
         try:
-            reply = await entry.placements.take(request)
+            reply = await entry.placements.acquire(request)
         except wire.ServingError as error:
             ended = error.code
         waited_s = loop.time() - arrived_at
@@ -239,12 +239,12 @@
         engine = self.engine_by_name[reply.target]
         outcome = placement.UseOutcome.DONE
         if engine.begin(request.adapter):
-            entry.placements.begun(request.request, reply.target, 0.2)
+            entry.placements.report_begun(request.request, reply.target, 0.2)
             await asyncio.sleep(RUN_S)
             engine.end(request.adapter)
         else:
             outcome = placement.UseOutcome.ABSENT
-        entry.placements.give_back(request.request, reply.target, outcome)
+        entry.placements.release(request.request, reply.target, outcome)
         absent = outcome is placement.UseOutcome.ABSENT
         return "absent" if absent else "placed"
 
--- a/features/support/heard.py
+++ b/features/support/heard.py
@@ -351,7 +351,7 @@
         self.released_with: list[placement.UseOutcome] = []
         self.wait_s = 0.0
 
-    async def take(
+    async def acquire(
         self, request: placement.PlaceRequest
     ) -> placement.PlaceReply:
         for target in self._world.targets:
@@ -366,12 +366,12 @@
             "No other engine is available.", retry_after_s=1.0
         )
 
-    def give_back(
+    def release(
         self, request: str, target: str, outcome: placement.UseOutcome
     ) -> None:
         self.released_with.append(outcome)
 
-    def begun(self, request: str, target: str, first_s: float) -> None:
+    def report_begun(self, request: str, target: str, first_s: float) -> None:
         return None
 
 
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -289,7 +289,7 @@
         deadline = clock.now() + self.settings.stop.finish_s
         while self._has_active_requests() and clock.now() < deadline:
             await clock.sleep(STOP_POLL_S)
-        await self.services.settled()
+        await self.services.wait_settled()
         if self.node is not None:
             await self.node.transfer()
         logging.info("stop: Shutdown complete.")
--- a/libs/routing/src/bergamotsail/routing/_forward.py
+++ b/libs/routing/src/bergamotsail/routing/_forward.py
@@ -439,7 +439,7 @@
             *self._session.unreported_leaving(),
             *self._session.notices.paused(SHORT_PAUSE_S, self._clock.now()),
         )
-        place = await self._placements.take(
+        place = await self._placements.acquire(
             placement.PlaceRequest(
                 self._session.boot,
                 use_id,
@@ -463,7 +463,7 @@
         try:
             self._check_accepting(attempt, place.target)
         except _NotAcceptingError:
-            self._placements.give_back(use_id, place.target, outcome)
+            self._placements.release(use_id, place.target, outcome)
             await self._wait_for_engine(attempt, place.target)
             raise
         destination = self._destination(
@@ -475,7 +475,7 @@
             """Report the time to the first piece of the answer, once."""
             attempt.on_first_piece = None
             first_s = self._clock.now() - placed_at
-            self._placements.begun(use_id, place.target, first_s)
+            self._placements.report_begun(use_id, place.target, first_s)
 
         attempt.on_first_piece = report_first_piece
         try:
@@ -486,7 +486,7 @@
             raise
         finally:
             attempt.on_first_piece = None
-            self._placements.give_back(use_id, place.target, outcome)
+            self._placements.release(use_id, place.target, outcome)
 
     def _check_accepting(self, attempt: _Attempt, target: str) -> None:
         """Raise if a target is leaving or paused.
--- a/libs/routing/src/bergamotsail/routing/_placements.py
+++ b/libs/routing/src/bergamotsail/routing/_placements.py
@@ -151,7 +151,7 @@
         """Return the placements in use, for the heartbeat."""
         return tuple(self._use_by_request.values())
 
-    async def take(
+    async def acquire(
         self, request: placement.PlaceRequest
     ) -> placement.PlaceReply:
         """Request a placement until one is granted or patience runs out.
@@ -418,12 +418,12 @@
         )
         return dataclasses.replace(found.reply, reason="remembered")
 
-    def begun(self, request: str, target: str, first_s: float) -> None:
+    def report_begun(self, request: str, target: str, first_s: float) -> None:
         """Queue a notice that a target sent the start of its answer."""
         self._begun.append(placement.BegunUse(request, target, first_s))
         self._wake.set()
 
-    def give_back(
+    def release(
         self, request: str, target: str, outcome: placement.UseOutcome
     ) -> None:
         """Release the placement of a request that no longer runs."""
--- a/libs/routing/src/bergamotsail/routing/_services.py
+++ b/libs/routing/src/bergamotsail/routing/_services.py
@@ -150,7 +150,7 @@
                 caller, call, entry.value, deadline, tracked
             )
 
-    async def settled(self) -> None:
+    async def wait_settled(self) -> None:
         """Wait until all non-idempotent calls have ended and are recorded."""
         while self._detached:
             await asyncio.wait(list(self._detached))
