--- a/features/support/quarantine.py
+++ b/features/support/quarantine.py
@@ -48,7 +48,7 @@
 def _count(
     observations: collections.abc.Iterable[quarantine.Observation],
 ) -> int:
-    counter = quarantine.EndCounter()
+    counter = quarantine.LossCounter()
     suspect = None
     for observation in observations:
         suspect = counter.take(observation, 100.0)
@@ -114,7 +114,7 @@
     Nor do a member's single losses evict its own request that was lost twice.
     The number of suspects that are kept is bounded.
     """
-    counter = quarantine.EndCounter()
+    counter = quarantine.LossCounter()
     first = quarantine.Observation("own", "m1", POOL, "t1", 1.0)
     counter.take(first, 100.0)
     for number in range(5_000):
--- a/libs/control/src/bergamotsail/control/_quarantine.py
+++ b/libs/control/src/bergamotsail/control/_quarantine.py
@@ -60,7 +60,7 @@
         self._view = view
         self._propose = propose
         self._clock = clock
-        self._counter = quarantine.EndCounter()
+        self._counter = quarantine.LossCounter()
         self._pending_changes: dict[str, catalogue.Quarantine | None] = {}
         # When this leader first saw an entry, by identity and revision.
         self._seen_at: dict[tuple[str, int], float] = {}
--- a/libs/quarantine/src/bergamotsail/quarantine/__init__.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/__init__.py
@@ -3,7 +3,7 @@
 A request that crashes an engine ("query of death") is often retried, through
 any daemon, and crashes the next one. :func:`identity` computes a key that all
 retries share, daemons collect :class:`Observations` of requests lost with a
-target, and the leader counts them with an :class:`EndCounter`.
+target, and the leader counts them with a :class:`LossCounter`.
 """
 
 from bergamotsail.quarantine import _ends
@@ -12,7 +12,7 @@
 
 KEPT_S = _observations.KEPT_S
 MAX_ENDS = _ends.MAX_ENDS
-EndCounter = _ends.EndCounter
+LossCounter = _ends.LossCounter
 Observation = _observations.Observation
 Observations = _observations.Observations
 Run = _observations.Run
--- a/libs/quarantine/src/bergamotsail/quarantine/_ends.py
+++ b/libs/quarantine/src/bergamotsail/quarantine/_ends.py
@@ -109,7 +109,7 @@
         return len(self.lost_once) + len(self.lost_again)
 
 
-class EndCounter:
+class LossCounter:
     """Counts, by request, the targets that were lost while they ran it.
 
     Observations may arrive late, duplicated and in any order; the count is
