--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -762,7 +762,7 @@
             self.by_name[name] = _residents.Resident(name, True, as_of)
 
     with (
-        patch(_residents.Residents, "doubt", lambda *_: None),
+        patch(_residents.Residents, "mark_in_doubt", lambda *_: None),
         patch(_residents.Residents, "_apply_resident", apply_resident),
     ):
         yield
--- a/libs/placement/src/bergamotsail/placement/_engine_owner.py
+++ b/libs/placement/src/bergamotsail/placement/_engine_owner.py
@@ -473,7 +473,7 @@
         self._state.used_at_by_name[name] = now
         if stream.sent and not stream.ended:
             # The run may continue, and its caller may resume the stream.
-            self._residents.doubt(name, stream.incarnation, now)
+            self._residents.mark_in_doubt(name, stream.incarnation, now)
             stream_id = stream.job.request.stream_id
             self._cancel_task_by_stream[stream_id] = asyncio.create_task(
                 self._cancel_later(stream_id)
--- a/libs/placement/src/bergamotsail/placement/_residents.py
+++ b/libs/placement/src/bergamotsail/placement/_residents.py
@@ -78,7 +78,9 @@
         if resident is not None and incarnation == self.incarnation:
             resident.pins = max(0, resident.pins - 1)
 
-    def doubt(self, name: str, incarnation: str | None, now: float) -> None:
+    def mark_in_doubt(
+        self, name: str, incarnation: str | None, now: float
+    ) -> None:
         """Prevent eviction until a later report shows the adapter idle.
 
         A run on it may continue at the engine.
