--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -188,8 +188,8 @@
         engine.load_fault = wire.EngineError("The load failed.")
 
     async def _disorder_messages(self, command: Command) -> None:
-        self._world.network.duplicate = 0.3
-        self._world.network.slow = 0.2
+        self._world.network.duplicate_probability = 0.3
+        self._world.network.max_extra_delay_s = 0.2
 
     async def _stop(self, command: Command) -> None:
         self._spawn(matrix.stop_and_start(self._entry(command)))
--- a/features/support/growth.py
+++ b/features/support/growth.py
@@ -957,7 +957,7 @@
     for seed in range(ELECTION_COUNT):
         replicas = await _form_replicas(seed=seed)
         await asyncio.sleep(1.0)
-        replicas.network.slow = 0.08
+        replicas.network.max_extra_delay_s = 0.08
         found = await _run_two_elections(replicas, 0.1)
         faults += [f"seed {seed}: {fault}" for fault in found]
         await replicas.stop_all()
@@ -967,7 +967,7 @@
 async def _run_contested_election(replicas: Replicas) -> list[str]:
     """Run a contested election with random delays of network and disks."""
     rng = replicas.rng
-    replicas.network.slow = rng.choice((0.001, 0.003, 0.008))
+    replicas.network.max_extra_delay_s = rng.choice((0.001, 0.003, 0.008))
     for disk in replicas.disk_by_address.values():
         disk.sync_s = rng.choice((0.0, 0.001, 0.004))
     if rng.random() < 0.5:
--- a/features/support/matrix.py
+++ b/features/support/matrix.py
@@ -153,8 +153,8 @@
 async def disordered_messages(entry: EntryInstance) -> None:
     """Delay, duplicate and reorder messages."""
     world = entry.world
-    world.network.duplicate = 0.3
-    world.network.slow = 0.3
+    world.network.duplicate_probability = 0.3
+    world.network.max_extra_delay_s = 0.3
     await _run_later(world, 5.0, make_network_healer(world))
 
 
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -326,8 +326,8 @@
         for number in range(10):
             view = world.entry(0).daemon.session.view
             revision = view.adapter_by_id["adapter-1"].revision
-            world.network.slow = 0.3
-            world.network.duplicate = 0.3
+            world.network.max_extra_delay_s = 0.3
+            world.network.duplicate_probability = 0.3
             value = world_lib.adapter_value("lakeshore", ("v1", f"r{number}"))
             racers = [
                 world.put("adapter", "adapter-1", value, entry, revision)
--- a/libs/standins/src/bergamotsail/standins/_network.py
+++ b/libs/standins/src/bergamotsail/standins/_network.py
@@ -37,8 +37,9 @@
 
     Attributes:
         cuts: (source, destination) pairs between which messages are dropped.
-        duplicate: probability that a request is delivered twice.
-        slow: upper bound of the extra one-way latency, in seconds.
+        duplicate_probability: probability that a request is delivered twice.
+        max_extra_delay_s: upper bound of the extra one-way latency, in
+            seconds.
         bytes_per_s: bandwidth limit for replies, by receiving address.
         received: bytes received over a limited link, by address.
         stalled: receiving addresses on whose limited link a transfer hangs.
@@ -47,8 +48,8 @@
     def __init__(self, rng: random.Random) -> None:
         self.host_by_address: dict[str, Host] = {}
         self.cuts: set[tuple[str, str]] = set()
-        self.duplicate = 0.0
-        self.slow = 0.0
+        self.duplicate_probability = 0.0
+        self.max_extra_delay_s = 0.0
         self.rng = rng
         self.bytes_per_s: dict[str, float] = {}
         self.received: collections.Counter[str] = collections.Counter()
@@ -103,12 +104,12 @@
     def heal(self) -> None:
         """Remove all partitions, duplication and extra latency."""
         self.cuts.clear()
-        self.duplicate = 0.0
-        self.slow = 0.0
+        self.duplicate_probability = 0.0
+        self.max_extra_delay_s = 0.0
 
     async def delay(self) -> None:
         """Wait for the latency of one message."""
-        extra_s = self.rng.random() * self.slow
+        extra_s = self.rng.random() * self.max_extra_delay_s
         await asyncio.sleep(DELAY_S * (1 + self.rng.random()) + extra_s)
 
     def is_cut(self, source: str, destination: str) -> bool:
@@ -137,7 +138,10 @@
         try:
             async with asyncio.timeout(timeout_s):
                 destination = await self._reach_host(address)
-                if self._network.rng.random() < self._network.duplicate:
+                if (
+                    self._network.rng.random()
+                    < self._network.duplicate_probability
+                ):
                     self._deliver(destination, call, message)
                 handler_task = self._deliver(destination, call, message)
                 reply = await asyncio.shield(handler_task)
