--- a/features/support/decisions.py
+++ b/features/support/decisions.py
@@ -20,7 +20,7 @@
 from bergamotsail import observe
 from bergamotsail import placement
 from bergamotsail.placement import _decisions
-from bergamotsail.placement import _holding
+from bergamotsail.placement import _engine_record
 from bergamotsail.placement import _pace
 from bergamotsail.placement import _place_policy
 from bergamotsail.placement import _place_settings
@@ -247,7 +247,7 @@
         self.weighed = 0
         pool = _pace.PoolPace()
         self.by_id = {
-            f"e{n}": _holding.EngineRecord(
+            f"e{n}": _engine_record.EngineRecord(
                 targets.Instance(f"e{n}", POOL, "10.0.0.1:1", "a"),
                 SPEC,
                 0,
@@ -266,7 +266,7 @@
 
     def hold(self, target: str, adapter: str, **fields: object) -> None:
         """Make an adapter resident at an engine."""
-        slot = _holding.Slot(1, _holding.SlotState.READY, **fields)
+        slot = _engine_record.Slot(1, _engine_record.SlotState.READY, **fields)
         self.by_id[target].slot_by_name[(MODEL, adapter)] = slot
         self.by_id[target].remember_copy((MODEL, adapter))
 
@@ -286,7 +286,7 @@
         decision = self.decider.decide(self.demand(adapter), names, self.now)
         if isinstance(decision, _decisions.Run):
             self._number += 1
-            grant = _holding.Grant(
+            grant = _engine_record.Grant(
                 "b", str(self._number), (MODEL, adapter), 3_100, self.now
             )
             self.by_id[decision.target].add(grant, (), 3_000)
@@ -332,8 +332,8 @@
 def copy_is_loading() -> list[str]:
     """A request waits for a copy that is loading; no second one is loaded."""
     engines = Engines(3)
-    slot = _holding.Slot(
-        1, _holding.SlotState.LOADING, ready_at=engines.now + 0.2
+    slot = _engine_record.Slot(
+        1, _engine_record.SlotState.LOADING, ready_at=engines.now + 0.2
     )
     engines.by_id["e1"].slot_by_name[(MODEL, "a1")] = slot
     decision = engines.decide("a1")
@@ -487,7 +487,7 @@
             for _ in range(83)
         ]
         asking = [
-            asyncio.create_task(placements.take(_place_request(number)))
+            asyncio.create_task(placements.acquire(_place_request(number)))
             for placements in daemons
             for number in range(8)
         ]
@@ -529,7 +529,7 @@
                 _place_request(number), patience_s=3.0, objective_s=1.0
             )
             try:
-                await placements.take(request)
+                await placements.acquire(request)
             except wire.OverloadError as error:
                 held_s = loop.time() - began_at - came_at
                 refusals.append((came_at, held_s, error.retry_after_s))
@@ -602,12 +602,12 @@
             for number in range(20)
         ]
         found = await asyncio.gather(
-            *map(placements.take, requests), return_exceptions=True
+            *map(placements.acquire, requests), return_exceptions=True
         )
         took_s = loop.time() - asked_at
         absent = dataclasses.replace(_place_request(20), adapter="a2")
         refused = await asyncio.gather(
-            placements.take(absent), return_exceptions=True
+            placements.acquire(absent), return_exceptions=True
         )
         if took_s > 0.3:
             refused.append(f"the placements took {took_s:.2f} s")
@@ -663,7 +663,7 @@
         ]
         on_time = [_place_request(n) for n in range(10, 14)]
         asking = [
-            asyncio.create_task(placements.take(request))
+            asyncio.create_task(placements.acquire(request))
             for request in (*late, *on_time)
         ]
         await asyncio.gather(*asking, return_exceptions=True)
@@ -691,7 +691,7 @@
     endpoint = daemon.PeerEndpoint(server, "token", lag)
     faults = []
     for late_s, refused in ((0.0, ()), (0.2, ("place",)), (0.5, None)):
-        lag.now_s = late_s
+        lag.latest_s = late_s
         found = []
         for name in ("place", "release", "vote"):
             try:
--- a/features/support/scenarios.py
+++ b/features/support/scenarios.py
@@ -326,8 +326,8 @@
         for number in range(10):
             view = world.entry(0).daemon.session.view
             revision = view.adapter_by_id["adapter-1"].revision
-            world.network.slow = 0.3
-            world.network.duplicate = 0.3
+            world.network.max_extra_delay_s = 0.3
+            world.network.duplicate_probability = 0.3
             value = world_lib.adapter_value("lakeshore", ("v1", f"r{number}"))
             racers = [
                 world.put("adapter", "adapter-1", value, entry, revision)
@@ -741,7 +741,7 @@
     """Accept any chunk, whatever run, adapter or position it belongs to."""
     with (
         patch(placement.EngineOwner, "_accept", _accept_any_chunk),
-        patch(routing.Entry, "_part", _pass_any_chunk),
+        patch(routing.CompletionRouter, "_part", _pass_any_chunk),
     ):
         yield
 
@@ -762,7 +762,7 @@
             self.by_name[name] = _residents.Resident(name, True, as_of)
 
     with (
-        patch(_residents.Residents, "doubt", lambda *_: None),
+        patch(_residents.Residents, "mark_in_doubt", lambda *_: None),
         patch(_residents.Residents, "_apply_resident", apply_resident),
     ):
         yield
--- a/libs/control/src/bergamotsail/control/_session.py
+++ b/libs/control/src/bergamotsail/control/_session.py
@@ -176,7 +176,7 @@
         self._moved.set()
         self._moved = asyncio.Event()
 
-    def learn(self, addresses: collections.abc.Sequence[str]) -> None:
+    def add_seeds(self, addresses: collections.abc.Sequence[str]) -> None:
         """Add replicas to the seeds, since the first seeds may disappear."""
         known = [a for a in self._seeds if a not in addresses]
         self._seeds = [*addresses, *known][:MAX_SEEDS]
@@ -263,7 +263,7 @@
         self.daemon = daemon
         self.digest = _digest.Digest()
         self.leader = leader
-        self.ends = quarantine.Observations(clock)
+        self.observations = quarantine.Observations(clock)
         self.notices = _target_notices.TargetNotices()
         self._transport = transport
         self._timing = timing
@@ -433,8 +433,8 @@
     async def _send_heartbeat(self) -> None:
         assert self._participant is not None
         self._sequence += 1
-        self.ends.forget(self.view.blocked_request_ids)
-        last_end, ends = self.ends.pending(self.digest.term)
+        self.observations.forget(self.view.blocked_request_ids)
+        last_end, ends = self.observations.pending(self.digest.term)
         request = _messages.Heartbeat(
             self.daemon,
             self._sequence,
@@ -454,9 +454,9 @@
         sent_at = self._sent_at
         answered_at = self._clock.now()
         self.leader.found(reply.leader)
-        self.leader.learn(reply.replicas)
-        self.ends.acknowledge(reply.term, last_end)
-        self.ends.take_suspects(reply.suspects)
+        self.leader.add_seeds(reply.replicas)
+        self.observations.acknowledge(reply.term, last_end)
+        self.observations.take_suspects(reply.suspects)
         if await self._catch_up(reply):
             self._log_renewal(sent_at, answered_at)
             self._renew(sent_at)
--- a/libs/daemon/src/bergamotsail/daemon/_assembly.py
+++ b/libs/daemon/src/bergamotsail/daemon/_assembly.py
@@ -201,7 +201,7 @@
         self.session.attach(_Participant(self.admission, self.owners))
         if self._coordinator is not None:
             self._coordinator.attach(self.session.digest)
-        self.entry = routing.Entry(
+        self.completions = routing.CompletionRouter(
             self.session,
             self.admission,
             self.owners,
@@ -289,7 +289,7 @@
         deadline = clock.now() + self.settings.stop.finish_s
         while self._has_active_requests() and clock.now() < deadline:
             await clock.sleep(STOP_POLL_S)
-        await self.services.settled()
+        await self.services.wait_settled()
         if self.node is not None:
             await self.node.transfer()
         logging.info("stop: Shutdown complete.")
